--- a/packages/node/src/plantainloft_node/placing/__init__.py
+++ b/packages/node/src/plantainloft_node/placing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on where a request goes, testable without a network."""
+"""Request placement: pure decisions without network access or a clock of their own."""
--- a/packages/node/src/plantainloft_node/placing/affinity.py
+++ b/packages/node/src/plantainloft_node/placing/affinity.py
@@ -1,26 +1,26 @@
-"""Rendezvous hashing: each key ranks all endpoints, the same on every node.
+"""Rendezvous hashing: each key ranks all endpoints, identically on every instance.
 
-An endpoint that worked on an object a moment ago is several times faster
-on it. Ranking by hash sends a key to the same endpoint from every entry
-instance without any of them talking; when an endpoint goes, only its own
-keys move.
+An endpoint that has recently worked on an object is several times faster on
+it. Ranking by hash sends a key to the same endpoint from every entry instance
+without coordination. When an endpoint goes away, only its own keys move.
 """
 
 from zlib import crc32
 
 __all__ = ['score']
 
-_MIX = 0x9E3779B1
+# The prime nearest to 2**32 divided by the golden ratio (Fibonacci hashing).
+_MULTIPLIER = 0x9E3779B1
 _MASK = 0xFFFFFFFF
-_HALF = 15
+_FOLD_SHIFT_BITS = 15
 
 
 def score(key: str, member: str) -> int:
-    """Return the 32-bit rank of ``member`` for ``key``; highest wins.
+    """Return the 32-bit weight of ``member`` for ``key``; the highest wins.
 
-    CRC-32 alone is linear: the order of two members would be nearly the
-    same for every key. The multiply and shift break that.
+    CRC-32 alone is linear: the order of two members would be nearly the same
+    for every key. The multiplications and the shift break the linearity.
     """
-    mixed = (crc32(member.encode(), crc32(key.encode())) * _MIX) & _MASK
-    folded = mixed ^ (mixed >> _HALF)
-    return (folded * _MIX) & _MASK
+    mixed = (crc32(member.encode(), crc32(key.encode())) * _MULTIPLIER) & _MASK
+    folded = mixed ^ (mixed >> _FOLD_SHIFT_BITS)
+    return (folded * _MULTIPLIER) & _MASK
--- a/packages/node/src/plantainloft_node/placing/demand.py
+++ b/packages/node/src/plantainloft_node/placing/demand.py
@@ -1,24 +1,24 @@
-"""Requests a second by service: this instance's, and all instances'."""
+"""Request rates by service, for this instance and for all instances."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
 __all__ = ['DemandMeter', 'RegionDemand', 'demand_by_region']
 
-# Time over which the rate is averaged: long against the spread of single
-# requests (20 in it at 10 a second), short against a wave of traffic.
-AVERAGE_S = 2.0
+# Averaging time of the rate: long enough to smooth single requests (20 of them
+# at 10 a second), short compared with a wave of traffic.
+AVERAGING_S = 2.0
 
 
 class RegionDemand(NamedTuple):
-    """One instance's requests a second by service, and its region."""
+    """Requests a second by service, and the region that they come from."""
 
     region: str
     rate_by_service: Mapping[str, float]
 
 
 class DemandMeter:
-    """Counts requests and averages their rate at each ``tick``."""
+    """Counts requests and updates a moving average of their rate at each ``tick``."""
 
     def __init__(self) -> None:
         self._count_by_service: dict[str, int] = {}
@@ -28,19 +28,19 @@
         """Count one request."""
         self._count_by_service[service] = self._count_by_service.get(service, 0) + 1
 
-    def tick(self, passed_s: float) -> None:
-        """Average what was counted in the last ``passed_s`` seconds."""
-        part = min(1.0, passed_s / AVERAGE_S)
-        counted = self._count_by_service
+    def tick(self, elapsed_s: float) -> None:
+        """Add the requests counted in the last ``elapsed_s`` seconds to the average."""
+        weight = min(1.0, elapsed_s / AVERAGING_S)
+        counts = self._count_by_service
         self._count_by_service = {}
-        for service in counted.keys() | self.rate_by_service.keys():
-            rate = counted.get(service, 0) / passed_s
-            before = self.rate_by_service.get(service, rate)
-            self.rate_by_service[service] = before + part * (rate - before)
+        for service in counts.keys() | self.rate_by_service.keys():
+            rate = counts.get(service, 0) / elapsed_s
+            previous = self.rate_by_service.get(service, rate)
+            self.rate_by_service[service] = previous + weight * (rate - previous)
 
 
 def demand_by_region(instances: Iterable[RegionDemand]) -> dict[str, dict[str, float]]:
-    """Add up the rates by service and region."""
+    """Return the sum of the rates by service, then by region."""
     total: dict[str, dict[str, float]] = {}
     for instance in instances:
         for service, rate in instance.rate_by_service.items():
--- a/packages/node/src/plantainloft_node/placing/splitting.py
+++ b/packages/node/src/plantainloft_node/placing/splitting.py
@@ -1,7 +1,7 @@
-"""Smooth weighted turns: a split holds also over a few requests.
+"""Smooth weighted round robin: a traffic split holds even over a few requests.
 
-Drawing at random leaves a short window several per cent off its weights;
-taking turns by accumulated credit keeps each prefix within one request.
+A random draw leaves a short window several per cent off its weights. Selecting
+by accumulated credit keeps each prefix within one request of its weight.
 """
 
 from plantainloft_core.routes import ServiceShare
@@ -10,13 +10,13 @@
 
 
 class SplitTurns:
-    """Takes turns among the services of one route's split."""
+    """Selects services in turn, by the weights of one route's split."""
 
     def __init__(self) -> None:
         self._credit_by_service: dict[str, float] = {}
 
     def next(self, shares: tuple[ServiceShare, ...]) -> str:
-        """Return the service whose turn it is."""
+        """Return the service that gets the next request."""
         if len(shares) == 1:
             return shares[0].service
         total = sum(share.weight for share in shares)
@@ -24,7 +24,7 @@
             share.service: self._credit_by_service.get(share.service, 0.0) + share.weight
             for share in shares
         }
-        chosen = max(credits, key=lambda name: credits[name])
-        credits[chosen] -= total
+        selected = max(credits, key=lambda name: credits[name])
+        credits[selected] -= total
         self._credit_by_service = credits
-        return chosen
+        return selected
