--- a/packages/node/src/plantainloft_node/limits/limiter.py
+++ b/packages/node/src/plantainloft_node/limits/limiter.py
@@ -17,7 +17,7 @@
 )
 from plantainloft_node.limits.uses import NO_USE, OrganisationUse, organisation_number
 from plantainloft_node.placing.affinity import score
-from plantainloft_node.placing.budget import WindowCount
+from plantainloft_node.placing.budget import SlidingWindowCounter
 
 __all__ = ['DEFAULT_TERMS', 'LimitTerms', 'OverLimit', 'RequestLimiter', 'Usage']
 
@@ -243,8 +243,8 @@
     """The requests of one organisation at this instance."""
 
     def __init__(self, *, window_s: float) -> None:
-        self.used = WindowCount(window_s=window_s)
-        self.wanted = WindowCount(window_s=window_s)
+        self.used = SlidingWindowCounter(window_s=window_s)
+        self.wanted = SlidingWindowCounter(window_s=window_s)
         self.refused = 0
         self._samples: deque[_Sample] = deque()
         # Times at which room was promised to callers who were refused.
--- a/packages/node/src/plantainloft_node/placing/budget.py
+++ b/packages/node/src/plantainloft_node/placing/budget.py
@@ -1,20 +1,21 @@
-"""Windows of counts, and the budget for sending a request once more."""
+"""Sliding-window event counters and the retry budget of a service."""
 
 from collections import deque
 from typing import NamedTuple
 
-__all__ = ['Allowance', 'RetryBudget', 'WindowCount']
+__all__ = ['Allowance', 'RetryBudget', 'SlidingWindowCounter']
 
-# Parts of the allowance that are dealt out. Each instance repeats in
-# proportion to its own requests, so these parts add up by themselves; what
-# remains is for windows that begin between two counts.
-RATIO_DEALT = 0.85
-# The fixed part is dealt out again to an instance that starts anew and has
-# forgotten what it sent, so all of them may use it twice in a window.
-EXTRA_DEALT = 0.5
+# Fractions of the allowance that are distributed among instances. Each
+# instance retries in proportion to its own requests, so these parts sum to
+# the total without coordination. The remainder covers windows that start
+# between two counts.
+RATIO_FRACTION = 0.85
+# A restarted instance has forgotten what it sent and gets its part of the
+# fixed allowance again, so every instance may use its part twice in a window.
+EXTRA_FRACTION = 0.5
 
 
-class WindowCount:
+class SlidingWindowCounter:
     """Counts events in a sliding window of ``window_s`` seconds."""
 
     def __init__(self, *, window_s: float) -> None:
@@ -24,39 +25,39 @@
     def add(self, now: float) -> None:
         """Count one event at ``now``."""
         self._times.append(now)
-        # Events that nobody counts would be kept for good, and the process
-        # would grow with every request.
-        self._forget_old(now)
+        # Also expire here: if nothing calls ``count``, memory would otherwise
+        # grow with every event.
+        self._expire(now)
 
     def count(self, now: float) -> int:
-        """Return the events in the window that ends at ``now``."""
-        self._forget_old(now)
+        """Return the number of events in the window that ends at ``now``."""
+        self._expire(now)
         return len(self._times)
 
     def remove_newest(self) -> None:
-        """Take back the newest event, if there is one."""
+        """Remove the newest event, if there is one."""
         if self._times:
             self._times.pop()
 
-    def time_of(self, number: int) -> float | None:
-        """Return when the event of that number, from the oldest on, was counted."""
-        return self._times[number] if 0 <= number < len(self._times) else None
+    def time_of(self, index: int) -> float | None:
+        """Return the time of the event at ``index`` (0 is the oldest), if it exists."""
+        return self._times[index] if 0 <= index < len(self._times) else None
 
     def __len__(self) -> int:
-        """Return the events that are kept."""
+        """Return the number of stored events."""
         return len(self._times)
 
-    def _forget_old(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         start = now - self._window_s
         while self._times and self._times[0] <= start:
             self._times.popleft()
 
 
 class Allowance(NamedTuple):
-    """Repeats allowed to one service in a window, over all instances.
+    """Retries allowed to one service per window, over all instances.
 
-    ``ratio`` of the requests of the window, and ``extra`` more, dealt out
-    among ``instances``.
+    The allowance is ``ratio`` times the requests of the window plus ``extra``
+    retries, which are divided among ``instances``.
     """
 
     ratio: float
@@ -65,32 +66,32 @@
 
 
 class RetryBudget:
-    """Limits the repeats to one service from this instance.
+    """Limits the retries that this instance sends to one service.
 
-    Without it an overloaded service gets its refusals back as more load:
-    one would see arrivals climb while successes fall. Repeats stay under
-    a share of the requests of the same window, plus this instance's part
-    of a fixed allowance for small services.
+    Without a budget, an overloaded service gets its refusals back as more
+    load: arrivals climb while successes fall. Retries stay below a ratio of
+    the requests of the same window, plus this instance's part of a fixed
+    allowance for services with few requests.
     """
 
     def __init__(self, *, window_s: float) -> None:
-        self._requests = WindowCount(window_s=window_s)
-        self._repeats = WindowCount(window_s=window_s)
+        self._requests = SlidingWindowCounter(window_s=window_s)
+        self._retries = SlidingWindowCounter(window_s=window_s)
 
     def note_request(self, now: float) -> None:
         """Count a caller's request for the service."""
         self._requests.add(now)
 
     def left(self, now: float, allowance: Allowance) -> float:
-        """Return how many repeats may be sent now."""
+        """Return the number of retries that may be sent now."""
         instances = max(1, allowance.instances)
-        fixed = EXTRA_DEALT * allowance.extra / instances
-        allowed = RATIO_DEALT * allowance.ratio * self._requests.count(now) + fixed
-        return allowed - self._repeats.count(now)
+        fixed = EXTRA_FRACTION * allowance.extra / instances
+        allowed = RATIO_FRACTION * allowance.ratio * self._requests.count(now) + fixed
+        return allowed - self._retries.count(now)
 
     def take(self, now: float, allowance: Allowance) -> bool:
-        """Take one repeat from the budget, if there is one."""
+        """Take one retry from the budget; return whether one was left."""
         if self.left(now, allowance) < 1:
             return False
-        self._repeats.add(now)
+        self._retries.add(now)
         return True
--- a/packages/node/src/plantainloft_node/placing/choosing.py
+++ b/packages/node/src/plantainloft_node/placing/choosing.py
@@ -1,10 +1,10 @@
-"""Which of a key's endpoints gets a request, and when none does.
+"""Selection of one of a key's candidate endpoints, or refusal of the request.
 
-The load that this answers: endpoints whose slots are all busy for a moment,
-as on every ordinary day, and for long, as on the heaviest. A request that
-runs where nobody remembers its object takes three times as long there, for
-its caller and for all who come after it; so it waits for an endpoint that
-remembers, as long as the wait is bounded.
+Endpoints are often out of free slots: briefly on ordinary days, for long
+periods under peak load. A request that runs on an endpoint without its object
+in the cache takes three times as long, and so do later requests for the same
+object that follow it there. It is therefore queued at an endpoint that has the
+object cached, as long as the queue is bounded.
 """
 
 from collections.abc import Sequence
@@ -16,20 +16,21 @@
 
 __all__ = ['NoCapacity', 'PlacementRequest', 'Selection', 'earliest_completion']
 
-# Requests that may wait at an endpoint beyond its slots, as a share of
-# them, by priority (0 first). Less urgent ones are turned away earlier, so
-# that what is left of the queue serves the urgent ones; a whole queue
-# length more would wait past the latency objective.
+# Requests that may be queued at an endpoint beyond its slots, as a ratio of its
+# slots, by priority (0 is the highest). Lower priorities are refused earlier,
+# which leaves the rest of the queue to higher ones. With one more queue length,
+# the wait would exceed the latency objective.
 QUEUE_BY_PRIORITY = (1.5, 1.0, 0.5)
-# An endpoint that does not remember the object is used beside the key's first
-# choice only while a quarter of its slots is free.
+# An endpoint without the object in its cache is used instead of the key's
+# first choice only while a quarter of its slots is free.
 SPILL_ROOM = 0.75
 
 
 class PlacementRequest(NamedTuple):
-    """What is asked of placement for one request or one more try.
+    """Input of placement for one attempt (the first or a retry) of a request.
 
-    ``left_s`` is the time in which it must be answered.
+    ``tried`` holds the ids of the endpoints that were tried before, ``left_s``
+    is the time remaining until the deadline.
     """
 
     route: Route
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Selection:
-    """The endpoint to send to, and the load that was believed there."""
+    """The selected endpoint, its estimated load and its rank for the key."""
 
     endpoint: EndpointState
     load: float
@@ -50,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NoCapacity:
-    """No endpoint may take the request now.
+    """No endpoint can take the request now.
 
-    ``loads`` names the endpoints that could be used at all, with the
-    requests believed there.
+    ``loads`` lists the ids of the candidate endpoints with their estimated
+    numbers of requests.
     """
 
     reason: str
@@ -61,50 +62,52 @@
 
 
 def earliest_completion(
-    group: Sequence[EndpointState], wanted: PlacementRequest, now: float
+    candidates: Sequence[EndpointState], request: PlacementRequest, now: float
 ) -> Selection | NoCapacity:
-    """Return the endpoint of ``group``, in rank order, that will answer first.
+    """Return the one of ``candidates``, in rank order, that should answer first.
 
-    The first in rank gets the request unless another that is known to
-    remember the object answers sooner; one that is not gets it only if the
-    queues of all that are known are full: a request that is quick elsewhere
-    today makes the next ones for its object slow there.
+    The first in rank is selected unless another one that has the object cached
+    is expected to answer sooner. An endpoint without it is selected only if the
+    queues of the first and of all that have it cached are full: a request that
+    finishes sooner there now slows down the next ones for the same object.
     """
     best: Selection | None = None
     soonest_s = 0.0
-    for rank, state in enumerate(group):
+    for rank, state in enumerate(candidates):
         load = state.load(now)
-        remembers = state.keys.has(wanted.key, now)
-        if load >= _most_taken(state, wanted.route, waits=not rank or remembers):
+        cached = state.keys.has(request.key, now)
+        if load >= _load_limit(state, request.route, may_queue=not rank or cached):
             continue
-        expected_s = state.expected_s(wanted.key, load, now)
-        if best is None or (remembers and expected_s < soonest_s):
+        expected_s = state.expected_s(request.key, load, now)
+        if best is None or (cached and expected_s < soonest_s):
             best = Selection(endpoint=state, load=load, rank=rank)
             soonest_s = expected_s
     if best is None:
-        return NoCapacity(reason='every endpoint is full', loads=_loads(group, now))
-    # Queued behind others with too little time left, a request is given up
-    # at work or in the queue: its caller is told after the whole wait, and
-    # not that it did not run, and a slot has worked for nobody.
+        return NoCapacity(reason='every endpoint is full', loads=_format_loads(candidates, now))
+    # A request queued with too little time left is abandoned in the queue or
+    # while it runs. Its caller would wait for the whole timeout without learning
+    # whether the request ran, and a slot would be wasted on it.
     queued = best.load >= best.endpoint.record.slots
-    if queued and _answered_after_s(best.endpoint, best.load) > wanted.left_s:
-        return NoCapacity(reason='no endpoint answers in time', loads=_loads(group, now))
+    if queued and _answered_after_s(best.endpoint, best.load) > request.left_s:
+        return NoCapacity(
+            reason='no endpoint answers in time', loads=_format_loads(candidates, now)
+        )
     return best
 
 
-def _most_taken(state: EndpointState, route: Route, *, waits: bool) -> float:
-    """Return the load from which on ``state`` gets no request of ``route``."""
-    if not waits:
+def _load_limit(state: EndpointState, route: Route, *, may_queue: bool) -> float:
+    """Return the load at which ``state`` gets no more requests of ``route``."""
+    if not may_queue:
         return state.record.slots * SPILL_ROOM
     queue = QUEUE_BY_PRIORITY[min(route.priority, len(QUEUE_BY_PRIORITY) - 1)]
     return state.record.slots * (1 + queue)
 
 
 def _answered_after_s(state: EndpointState, load: float) -> float:
-    # At worst: all who are there have just begun.
+    # Worst case: all running requests have only just started.
     rounds_ahead = load / state.record.slots
     return (1 + rounds_ahead) * state.pace.usual_s
 
 
-def _loads(group: Sequence[EndpointState], now: float) -> str:
-    return ', '.join(f'{state.record.id} {state.load(now):.1f}' for state in group)
+def _format_loads(candidates: Sequence[EndpointState], now: float) -> str:
+    return ', '.join(f'{state.record.id} {state.load(now):.1f}' for state in candidates)
--- a/packages/node/src/plantainloft_node/placing/cold.py
+++ b/packages/node/src/plantainloft_node/placing/cold.py
@@ -1,65 +1,64 @@
-"""Admission to cold endpoints, within a bound over all entry instances.
+"""Rate limit of requests to cold endpoints, over all entry instances.
 
-A cold endpoint that gets more than it bears crashes, and its requests
-with it. Instances can't ask each other before each request (some may be
-cut off), so the bound is dealt out beforehand: every instance works out
-its own share of it from the list of instances, and shares never add up
-to more than the bound.
+A cold endpoint crashes when it gets more requests than it can handle, and
+takes the requests that it is running with it. Instances cannot coordinate
+before each request (some may be partitioned), so the limit is divided in
+advance: every instance computes its own share from the list of instances, and
+the shares never add up to more than the limit.
 """
 
 from collections.abc import Mapping
 
 from plantainloft_node.placing.affinity import score
-from plantainloft_node.placing.budget import WindowCount
+from plantainloft_node.placing.budget import SlidingWindowCounter
 
-__all__ = ['ColdGate', 'cold_share']
+__all__ = ['ColdRateLimiter', 'cold_share']
 
-# The rest is for an instance that restarts and forgets what it sent, and
-# for instances that know a different list for a moment.
-DEALT = 0.8
-# Longer than the second over which an endpoint is judged: requests spaced
-# a second apart when sent may arrive closer together.
+# The remainder covers instances that restart and forget what they sent, and
+# instances whose lists of instances differ for a moment.
+DISTRIBUTED_FRACTION = 0.8
+# The limit applies to any second at the endpoint. The window is longer because
+# requests sent a second apart may arrive closer together.
 WINDOW_S = 1.15
 
 
 def cold_share(
     *, bound: float, me: str, region_by_instance: Mapping[str, str], endpoint_id: str, region: str
 ) -> int:
-    """Return this instance's requests per window for a cold endpoint.
+    """Return the requests per window that this instance may send to a cold endpoint.
 
-    ``bound`` is the most that all instances together may send in a second.
-    What does not divide evenly goes to instances of the endpoint's
-    ``region`` first, whose callers it mostly serves, in the order in which
-    its id ranks them. On a large fleet only these get anything: dealt out
-    over all regions alike, most of the shares would lie where nobody asks
-    for the endpoint. Without a list of instances no share is known, and
-    nothing is sent.
+    ``bound`` is the most that all instances together may send in a second. The
+    remainder of the division goes to instances of the endpoint's ``region``
+    first, whose callers it mostly serves, in order of their score for the
+    endpoint's id. In a large fleet only these instances get a share: divided
+    over all regions, most shares would go to instances whose callers don't use
+    the endpoint. An instance that is missing from the list gets none.
     """
     if me not in region_by_instance:
         return 0
-    each, rest = divmod(int(bound * DEALT), len(region_by_instance))
-    if not rest:
+    each, remainder = divmod(int(bound * DISTRIBUTED_FRACTION), len(region_by_instance))
+    if not remainder:
         return each
-    mine = _rank(me, region_by_instance[me], endpoint_id, region)
+    own_rank = _rank(me, region_by_instance[me], endpoint_id, region)
     ahead = sum(
         1
-        for name, its_region in region_by_instance.items()
-        if _rank(name, its_region, endpoint_id, region) > mine
+        for name, instance_region in region_by_instance.items()
+        if _rank(name, instance_region, endpoint_id, region) > own_rank
     )
-    return each + int(ahead < rest)
+    return each + int(ahead < remainder)
 
 
-def _rank(name: str, its_region: str, endpoint_id: str, region: str) -> tuple[bool, int, str]:
-    return its_region == region, score(endpoint_id, name), name
+def _rank(name: str, instance_region: str, endpoint_id: str, region: str) -> tuple[bool, int, str]:
+    return instance_region == region, score(endpoint_id, name), name
 
 
-class ColdGate:
-    """Counts what this instance sends to one cold endpoint."""
+class ColdRateLimiter:
+    """Counts the requests that this instance sends to one cold endpoint."""
 
     def __init__(self) -> None:
-        self._sent = WindowCount(window_s=WINDOW_S)
+        self._sent = SlidingWindowCounter(window_s=WINDOW_S)
 
-    def open(self, now: float, *, share: int) -> bool:
+    def allows(self, now: float, *, share: int) -> bool:
         """Return whether one more request may be sent."""
         return self._sent.count(now) < share
 
--- a/packages/node/src/plantainloft_node/placing/endpoints.py
+++ b/packages/node/src/plantainloft_node/placing/endpoints.py
@@ -1,155 +1,162 @@
-"""What this instance believes of each endpoint, and how it came to."""
+"""State of each endpoint as known to this instance, and how it is updated."""
 
 from plantainloft_core.discovery import EndpointRecord
-from plantainloft_node.placing.cold import ColdGate
-from plantainloft_node.placing.expecting import RecentKeys, WorkTimes, ZoneDistances
+from plantainloft_node.placing.cold import ColdRateLimiter
+from plantainloft_node.placing.expecting import ProcessingTimes, RecentKeys, ZoneRoundTrips
 from plantainloft_node.placing.health import EndpointHealth
-from plantainloft_node.placing.pace import EndpointPace, ServicePace
+from plantainloft_node.placing.pace import EndpointLatency, ServiceLatency
 
 __all__ = ['EndpointBook', 'EndpointState']
 
-# Load that others put on an endpoint is believed whole for the first part
-# of this time and then fades: requests last a few tenths of a second, so
-# an older report says little about now.
-REPORT_FADES_S = 1.5
-# What remains of it is the load that others usually put there: reports come
-# about once a second, and an endpoint without a new one is not idle. Taken
-# as idle, it draws requests into a queue that nobody sees. It fades as well, so
-# that an endpoint that is passed over is tried again.
-USUAL_WEIGHT = 0.15
+# The last reported load from other instances decays linearly to zero over this
+# time: requests last a few tenths of a second, so an older report says little
+# about the current load.
+REPORT_DECAY_S = 1.5
+# As the report decays, the typical load from other instances takes its place:
+# reports arrive about once a second, and an endpoint without a recent one is not
+# idle. If it counted as idle, it would attract requests into a queue that this
+# instance doesn't see. The typical load decays as well, so that an endpoint that
+# is avoided is tried again.
+TYPICAL_LOAD_WEIGHT = 0.15
 USUAL_FADES_S = 6.0
-# An endpoint that no report told of yet is taken as one with this share
-# of its slots in use.
-UNKNOWN_LOAD = 0.3
-# An endpoint whose answers take this many times the service's usual time
-# is slow: its keys are sent elsewhere, where fewer of their requests fail.
+# Before its first report, this fraction of an endpoint's slots counts as used.
+INITIAL_USED_FRACTION = 0.3
+# An endpoint is slow if its mean answer time exceeds the service's by this
+# factor. Its keys are sent to other endpoints, where fewer requests fail.
 SLOW_FACTOR = 2.0
-# Time in which an endpoint comes to remember the objects of its keys: two
-# dozen objects at half a dozen requests a second.
-WARMING_S = 4.0
+# Time in which a new endpoint caches the objects of its keys: about 24 objects
+# at six requests a second.
+CACHE_FILL_S = 4.0
 
 
 class EndpointState:
-    """One endpoint incarnation: its record, load, warmth and health."""
+    """One endpoint incarnation: record, load, cold period, answer times and health."""
 
     def __init__(
         self,
         *,
         record: EndpointRecord,
         region: str,
-        pace: ServicePace,
-        work: WorkTimes,
-        distances: ZoneDistances,
+        pace: ServiceLatency,
+        processing: ProcessingTimes,
+        round_trips: ZoneRoundTrips,
         now: float,
     ) -> None:
         self.record = record
         self.pace = pace
         self.keys = RecentKeys()
-        self._work = work
-        self._distances = distances
+        self._processing = processing
+        self._round_trips = round_trips
         self.region = region
         self.in_flight = 0
-        self.health = EndpointHealth(pace=pace)
-        self.cold_gate = ColdGate()
+        self.health = EndpointHealth(latency=pace)
+        self.cold_limiter = ColdRateLimiter()
         self.cold_until = now + record.cold_s
-        self._known_since = now
-        self._own_pace = EndpointPace()
-        self._others = record.slots * UNKNOWN_LOAD
-        self._usual_others = self._others
+        self._added_at = now
+        self._own_latency = EndpointLatency()
+        self._others_load = record.slots * INITIAL_USED_FRACTION
+        self._typical_others_load = self._others_load
         self._reported_at = now
 
-    def take_record(self, record: EndpointRecord, now: float) -> None:
-        """Take a newer row of the same incarnation."""
+    def update_record(self, record: EndpointRecord, now: float) -> None:
+        """Apply a newer row of the same incarnation."""
         self.record = record
         if record.cold_s > 0:
-            self.note_cold(now + record.cold_s)
+            self.extend_cold(now + record.cold_s)
 
-    def note_cold(self, until: float) -> None:
-        """Treat the endpoint as cold until ``until`` at least."""
+    def extend_cold(self, until: float) -> None:
+        """Treat the endpoint as cold at least until ``until``."""
         self.cold_until = max(self.cold_until, until)
 
     def note_report(self, *, busy: int, now: float) -> None:
-        """Take the endpoint's own count of requests running and waiting."""
-        self._others = max(0.0, busy - self.in_flight)
-        self._usual_others += USUAL_WEIGHT * (self._others - self._usual_others)
+        """Record the endpoint's own count of running and queued requests."""
+        self._others_load = max(0.0, busy - self.in_flight)
+        self._typical_others_load += TYPICAL_LOAD_WEIGHT * (
+            self._others_load - self._typical_others_load
+        )
         self._reported_at = now
 
     def note_answer(self, took_s: float, now: float) -> None:
-        """Take the time that an answer took."""
+        """Record the time that an answer took."""
         self.pace.note_answer(took_s)
-        self._own_pace.note_answer(took_s, now)
+        self._own_latency.note_answer(took_s, now)
 
     def note_connected(self, after_s: float) -> None:
-        """Take the time in which a connection to it opened."""
-        self._distances.note(self.record.zone, after_s)
+        """Record the time that opening a connection took."""
+        self._round_trips.note(self.record.zone, after_s)
 
     def note_work(self, key: str, took_s: float, now: float, *, had_room: bool) -> None:
-        """Take a whole answer on ``key``; ``had_room``: it did not wait there."""
-        remembered = self.keys.has(key, now)
+        """Record a complete answer for ``key``.
+
+        ``had_room``: a slot was free when the request was sent, so that it did
+        not queue at the endpoint.
+        """
+        cached = self.keys.has(key, now)
         if had_room:
-            away_s = self._distances.round_trip_s(self.record.zone)
-            self._work.note(max(0.0, took_s - away_s), remembered=remembered)
+            round_trip_s = self._round_trips.round_trip_s(self.record.zone)
+            self._processing.note(max(0.0, took_s - round_trip_s), remembered=cached)
         self.keys.note(key, now)
 
     def expected_s(self, key: str, load: float, now: float) -> float:
-        """Return how long an answer on ``key`` will take with ``load`` there."""
+        """Return the expected answer time for ``key`` at the given ``load``."""
         slots = self.record.slots
-        ahead = max(0.0, load + 1 - slots) / slots
-        work_s = self._work.expected_s(remembered=self.keys.has(key, now))
-        wait_s = ahead * self._work.mean_s
-        return self._distances.round_trip_s(self.record.zone) + work_s + wait_s
+        rounds_ahead = max(0.0, load + 1 - slots) / slots
+        processing_s = self._processing.expected_s(remembered=self.keys.has(key, now))
+        wait_s = rounds_ahead * self._processing.mean_s
+        return self._round_trips.round_trip_s(self.record.zone) + processing_s + wait_s
 
     def note_given_up(self, after_s: float, now: float) -> None:
-        """Take a request given up; its answer would have taken longer."""
-        self._own_pace.note_given_up(after_s, now)
+        """Record a request that was abandoned; its answer would have taken longer."""
+        self._own_latency.note_given_up(after_s, now)
 
     def is_slow(self, now: float) -> bool:
-        """Return whether its answers take far longer than its service's.
+        """Return whether the endpoint's answers take far longer than its service's.
 
-        While it warms up they do by nature; sent elsewhere, its requests
-        would be as cold there, and it would not warm.
+        While an endpoint warms up, slow answers are normal: its requests would be
+        just as slow on another endpoint, and this one would not fill its cache.
         """
-        if now < max(self._known_since, self.cold_until) + WARMING_S:
+        if now < max(self._added_at, self.cold_until) + CACHE_FILL_S:
             return False
-        return self._own_pace.recent_s(now) > SLOW_FACTOR * self.pace.usual_s
+        return self._own_latency.recent_s(now) > SLOW_FACTOR * self.pace.usual_s
 
     def load(self, now: float) -> float:
-        """Estimate the requests it holds now, ours and those of others."""
-        age = now - self._reported_at
-        newest = max(0.0, 1 - age / REPORT_FADES_S)
-        usual = self._usual_others * max(0.0, 1 - age / USUAL_FADES_S)
-        others = newest * self._others + (1 - newest) * min(usual, self.record.slots)
+        """Estimate the number of requests at the endpoint, from all instances."""
+        age_s = now - self._reported_at
+        report_weight = max(0.0, 1 - age_s / REPORT_DECAY_S)
+        typical = self._typical_others_load * max(0.0, 1 - age_s / USUAL_FADES_S)
+        others = report_weight * self._others_load + (1 - report_weight) * min(
+            typical, self.record.slots
+        )
         return self.in_flight + others
 
     def is_cold(self, now: float) -> bool:
-        """Return whether it must be sent no more than its cold rate."""
+        """Return whether the rate limit of cold endpoints applies."""
         return now < self.cold_until
 
 
 class EndpointBook:
-    """All endpoints known, by id and by service."""
+    """All known endpoints, by id and by service."""
 
     def __init__(self, *, region_by_zone: dict[str, str]) -> None:
         self._region_by_zone = region_by_zone
         self.by_id: dict[str, EndpointState] = {}
         self.ids_by_service: dict[str, set[str]] = {}
-        self.pace_by_service: dict[str, ServicePace] = {}
-        self.work_by_service: dict[str, WorkTimes] = {}
-        self.distances = ZoneDistances()
+        self.pace_by_service: dict[str, ServiceLatency] = {}
+        self.work_by_service: dict[str, ProcessingTimes] = {}
+        self.distances = ZoneRoundTrips()
         self.evacuated_zones: frozenset[str] = frozenset()
-        # Counts changes to who is listed, for caches of rankings.
+        # Incremented whenever endpoints are added or removed; invalidates cached rankings.
         self.generation = 0
 
     def put(self, record: EndpointRecord, now: float) -> None:
-        """Add an incarnation, or take a newer row of one.
+        """Add an incarnation, or apply a newer row of a known one.
 
-        One that takes the place of another under its id knows nothing of
-        before: kept on, the old one's load, pace, warmth and ejections
-        would be believed of it.
+        A new incarnation under a known id starts with a new state: the previous
+        one's load, answer times, cached keys and ejections don't apply to it.
         """
         known = self.by_id.get(record.id)
-        if known is not None and _is_same(known.record, record):
-            known.take_record(record, now)
+        if known is not None and _is_same_incarnation(known.record, record):
+            known.update_record(record, now)
             return
         self.drop(record.id)
         region = self._region_by_zone.get(record.zone, '')
@@ -157,36 +164,36 @@
             record=record,
             region=region,
             pace=self.pace_of(record.service),
-            work=self.work_by_service.setdefault(record.service, WorkTimes()),
-            distances=self.distances,
+            processing=self.work_by_service.setdefault(record.service, ProcessingTimes()),
+            round_trips=self.distances,
             now=now,
         )
         self.ids_by_service.setdefault(record.service, set()).add(record.id)
         self.generation += 1
 
     def incarnations(self) -> set[str]:
-        """Return the incarnations that are listed."""
+        """Return the incarnations of all known endpoints."""
         return {state.record.incarnation for state in self.by_id.values()}
 
     def note_ended(self, incarnation: str, now: float) -> None:
-        """Take that nothing listens any more where ``incarnation`` ran."""
+        """Record that no process listens any more at the address of ``incarnation``."""
         for state in self.by_id.values():
             if state.record.incarnation == incarnation:
                 state.health.note_unreachable(now)
 
     def drop(self, endpoint_id: str) -> None:
-        """Forget an incarnation that is gone."""
+        """Remove an endpoint whose incarnation has gone."""
         state = self.by_id.pop(endpoint_id, None)
         if state is None:
             return
         self.ids_by_service[state.record.service].discard(endpoint_id)
         self.generation += 1
 
-    def pace_of(self, service: str) -> ServicePace:
-        """Return how long the endpoints of ``service`` take to answer."""
-        return self.pace_by_service.setdefault(service, ServicePace())
+    def pace_of(self, service: str) -> ServiceLatency:
+        """Return the answer times of ``service``."""
+        return self.pace_by_service.setdefault(service, ServiceLatency())
 
-    def of_service(self, service: str) -> list[EndpointState]:
+    def endpoints_of(self, service: str) -> list[EndpointState]:
         """Return the endpoints of ``service``."""
         return [self.by_id[name] for name in self.ids_by_service.get(service, ())]
 
@@ -204,20 +211,20 @@
         }
 
     def set_evacuated(self, zones: frozenset[str], *, warmup_s: float, now: float) -> None:
-        """Take the zones that must get nothing.
+        """Set the availability zones that must get no requests.
 
-        Endpoints of a zone that is taken back may have lost their caches
-        meanwhile without a word. Sent their full share at once they crash,
-        so they count as cold for a whole warm-up.
+        Endpoints of a zone that is no longer evacuated may have lost their caches
+        without any report of it, and would crash under their full share of
+        requests. They therefore count as cold for a whole warm-up.
         """
-        returned = self.evacuated_zones - zones
+        restored = self.evacuated_zones - zones
         self.evacuated_zones = zones
         for state in self.by_id.values():
-            if state.record.zone in returned:
-                state.note_cold(now + warmup_s)
+            if state.record.zone in restored:
+                state.extend_cold(now + warmup_s)
 
 
-def _is_same(known: EndpointRecord, record: EndpointRecord) -> bool:
+def _is_same_incarnation(known: EndpointRecord, record: EndpointRecord) -> bool:
     return (known.incarnation, known.service, known.zone) == (
         record.incarnation,
         record.service,
--- a/packages/node/src/plantainloft_node/placing/expecting.py
+++ b/packages/node/src/plantainloft_node/placing/expecting.py
@@ -1,106 +1,109 @@
-"""How long an answer will take: distance, work and the wait for a slot.
+"""Prediction of answer times: round trip, processing and queueing for a slot.
 
-Work on an object that an endpoint remembers takes a third of the time, and
-endpoints of other regions are a good part of an objective away. Whether a
-request does better in the queue of an endpoint that remembers its object or
-at a free one that does not is a matter of these times, and all of them are
-observed: none is set.
+Processing takes a third of the time if the endpoint has the object cached, and
+the round trip to another region takes up a considerable part of a latency
+objective. These times decide whether a request should queue at an endpoint that
+has its object cached or go to a free endpoint that has not. All of them are
+observed; none is configured.
 """
 
 from collections import OrderedDict
 
-__all__ = ['RecentKeys', 'WorkTimes', 'ZoneDistances']
+__all__ = ['ProcessingTimes', 'RecentKeys', 'ZoneRoundTrips']
 
-# Weight of the newest answer: about 20 answers count.
+# Weight of the newest answer in the moving averages: about 20 answers count.
 NEWEST_WEIGHT = 0.05
-# Before any answer.
-WORK_S = 0.3
-# Objects of which an endpoint is taken to keep the memory, and for how
-# long since it was last asked for one by this instance. It works on a dozen
-# requests a second, and others ask it too.
-KEPT_KEYS = 64
-KEPT_S = 20.0
-# A connection that opens sooner than all before tells the distance; one
-# that opens later may have met a busy endpoint.
-CLOSER_WEIGHT = 0.5
-FARTHER_WEIGHT = 0.02
-
-
-class WorkTimes:
-    """How long a service's endpoints work on a request, in seconds.
-
-    Kept apart for objects that the endpoint remembers and those that it
-    does not.
+# Used before the first answer.
+DEFAULT_PROCESSING_S = 0.3
+# Number of objects that an endpoint is assumed to have cached, and for how long
+# after its last answer on an object to this instance. An endpoint handles about
+# a dozen requests a second, including those of other instances.
+MAX_RECENT_KEYS = 64
+RECENT_KEY_TTL_S = 20.0
+# A connection that opens faster than the estimate indicates a shorter round trip;
+# one that opens more slowly may only have met a busy endpoint.
+DECREASE_WEIGHT = 0.5
+INCREASE_WEIGHT = 0.02
+
+
+class ProcessingTimes:
+    """Mean processing times of a service's requests, in seconds.
+
+    Requests for objects that the endpoint has cached and for others are averaged
+    separately.
     """
 
     def __init__(self) -> None:
-        self._any_s: float | None = None
-        self._remembered_s: float | None = None
-        self._new_s: float | None = None
+        self._overall_s: float | None = None
+        self._cached_s: float | None = None
+        self._uncached_s: float | None = None
 
     def note(self, work_s: float, *, remembered: bool) -> None:
-        """Take the time of one answer, less distance, without a wait."""
-        self._any_s = _averaged(self._any_s, work_s)
+        """Record one answer's time without round trip and queueing.
+
+        ``remembered``: the endpoint had the object cached.
+        """
+        self._overall_s = _moving_average(self._overall_s, work_s)
         if remembered:
-            self._remembered_s = _averaged(self._remembered_s, work_s)
+            self._cached_s = _moving_average(self._cached_s, work_s)
         else:
-            self._new_s = _averaged(self._new_s, work_s)
+            self._uncached_s = _moving_average(self._uncached_s, work_s)
 
     @property
     def mean_s(self) -> float:
-        """The mean time over all requests."""
-        return WORK_S if self._any_s is None else self._any_s
+        """The mean over all requests."""
+        return DEFAULT_PROCESSING_S if self._overall_s is None else self._overall_s
 
     def expected_s(self, *, remembered: bool) -> float:
-        """Return how long the work on a request will take."""
-        new_s = WORK_S if self._new_s is None else self._new_s
-        if not remembered or self._remembered_s is None:
-            return new_s
-        return min(new_s, self._remembered_s)
+        """Return the expected processing time of a request."""
+        uncached_s = DEFAULT_PROCESSING_S if self._uncached_s is None else self._uncached_s
+        if not remembered or self._cached_s is None:
+            return uncached_s
+        return min(uncached_s, self._cached_s)
 
 
 class RecentKeys:
-    """Keys that one endpoint answered lately, as far as seen from here."""
+    """Keys that one endpoint recently answered to this instance."""
 
     def __init__(self) -> None:
         self._answered_at_by_key: OrderedDict[str, float] = OrderedDict()
 
     def note(self, key: str, now: float) -> None:
-        """Take an answer on ``key``."""
+        """Record an answer for ``key``."""
         self._answered_at_by_key[key] = now
         self._answered_at_by_key.move_to_end(key)
-        if len(self._answered_at_by_key) > KEPT_KEYS:
+        if len(self._answered_at_by_key) > MAX_RECENT_KEYS:
             self._answered_at_by_key.popitem(last=False)
 
     def has(self, key: str, now: float) -> bool:
-        """Return whether the endpoint is likely to remember ``key``."""
+        """Return whether the endpoint is likely to have the object of ``key`` cached."""
         answered_at = self._answered_at_by_key.get(key)
-        return answered_at is not None and now - answered_at < KEPT_S
+        return answered_at is not None and now - answered_at < RECENT_KEY_TTL_S
 
 
-class ZoneDistances:
-    """Round trips to availability zones, by how fast connections open."""
+class ZoneRoundTrips:
+    """Round-trip times to availability zones, estimated from connection setup."""
 
     def __init__(self) -> None:
         self._round_trip_s_by_zone: dict[str, float] = {}
 
     def note(self, zone: str, opened_after_s: float) -> None:
-        """Take the time in which a connection opened."""
-        known = self._round_trip_s_by_zone.get(zone, opened_after_s)
-        gap_s = opened_after_s - known
-        weight = CLOSER_WEIGHT if gap_s < 0 else FARTHER_WEIGHT
-        self._round_trip_s_by_zone[zone] = known + weight * gap_s
+        """Record the time that opening a connection took."""
+        known_s = self._round_trip_s_by_zone.get(zone, opened_after_s)
+        difference_s = opened_after_s - known_s
+        weight = DECREASE_WEIGHT if difference_s < 0 else INCREASE_WEIGHT
+        self._round_trip_s_by_zone[zone] = known_s + weight * difference_s
 
     def by_zone(self) -> dict[str, float]:
-        """Return the round trips known."""
+        """Return the known round-trip times by availability zone."""
         return dict(self._round_trip_s_by_zone)
 
     def round_trip_s(self, zone: str) -> float:
-        """Return the round trip to ``zone``, 0 while none is known."""
+        """Return the round-trip time to ``zone``, or 0 if unknown."""
         return self._round_trip_s_by_zone.get(zone, 0.0)
 
 
-def _averaged(known_s: float | None, newest_s: float) -> float:
+def _moving_average(known_s: float | None, newest_s: float) -> float:
     if known_s is None:
         return newest_s
     return known_s + NEWEST_WEIGHT * (newest_s - known_s)
--- a/packages/node/src/plantainloft_node/placing/health.py
+++ b/packages/node/src/plantainloft_node/placing/health.py
@@ -1,88 +1,89 @@
-"""Passive health of one endpoint: what its answers say, not its reports.
+"""Passive health checking of one endpoint, by the outcome of its requests.
 
-Reports lag and mislead: an endpoint may fail part of its requests while
-its health answer is good, or fall silent altogether. Ejection goes by
-what requests met there.
+Health reports arrive late and can be wrong: an endpoint may fail part of its
+requests while its health check succeeds, or stop answering altogether. Ejection
+therefore depends on the outcome of the requests sent to it.
 """
 
-from plantainloft_node.placing.pace import ServicePace
+from plantainloft_node.placing.pace import ServiceLatency
 
 __all__ = ['EndpointHealth']
 
-# Weight of the newest answer in the failure share: five answers tell a
-# failing endpoint from one bad answer.
+# Weight of the newest answer in the failure ratio: five answers distinguish a
+# failing endpoint from a single failure.
 NEWEST_WEIGHT = 0.2
-EJECT_SHARE = 0.45
-# First ejection; doubles while the endpoint fails its trial requests.
-EJECT_S = 1.0
-EJECT_MAX_S = 8.0
+EJECTION_FAILURE_RATIO = 0.45
+# The first ejection lasts ``MIN_EJECTION_S``; the time doubles as long as the
+# endpoint fails its trial requests.
+MIN_EJECTION_S = 1.0
+MAX_EJECTION_S = 8.0
 
 
 class EndpointHealth:
-    """Failure share, ejection and silence of one endpoint."""
+    """Failure ratio, ejection and silence of one endpoint."""
 
-    def __init__(self, *, pace: ServicePace) -> None:
-        self._pace = pace
-        self._failure_share = 0.0
-        self._eject_s = EJECT_S
+    def __init__(self, *, latency: ServiceLatency) -> None:
+        self._latency = latency
+        self._failure_ratio = 0.0
+        self._next_ejection_s = MIN_EJECTION_S
         self.ejected_until = 0.0
-        self._waiting_since: dict[int, float] = {}
-        self._heard_at = 0.0
+        self._sent_at_by_request: dict[int, float] = {}
+        self._answered_at = 0.0
         self._unreachable_until = 0.0
 
-    def usable(self, now: float, *, failing_too: bool = False) -> bool:
-        """Return whether requests may be sent to it.
+    def usable(self, now: float, *, include_failing: bool = False) -> bool:
+        """Return whether requests may be sent to the endpoint.
 
-        ``failing_too``: also while it is ejected for failing a part of
-        its requests, as long as it answers at all.
+        ``include_failing``: also while it is ejected for failing part of its
+        requests, as long as it answers at all.
         """
         if self.silent(now) or now < self._unreachable_until:
             return False
-        return failing_too or now >= self.ejected_until
+        return include_failing or now >= self.ejected_until
 
     def failing(self, now: float) -> bool:
-        """Return whether it is ejected for failing requests."""
+        """Return whether the endpoint is ejected for failing requests."""
         return now < self.ejected_until and now >= self._unreachable_until
 
     def silent(self, now: float) -> bool:
-        """Return whether it leaves its requests without any answer."""
-        if not self._waiting_since:
+        """Return whether the endpoint has stopped answering its requests."""
+        if not self._sent_at_by_request:
             return False
-        oldest = min(self._waiting_since.values())
-        return now - max(oldest, self._heard_at) > self._pace.silent_after_s
+        oldest = min(self._sent_at_by_request.values())
+        return now - max(oldest, self._answered_at) > self._latency.silent_after_s
 
     def note_sent(self, number: int, now: float) -> None:
-        """Count the request ``number`` as waiting for its answer."""
-        self._waiting_since[number] = now
+        """Record that the request ``number`` was sent and awaits its answer."""
+        self._sent_at_by_request[number] = now
 
     def note_ended(self, number: int) -> None:
-        """The request ``number`` waits no more, answered or not."""
-        self._waiting_since.pop(number, None)
+        """Record that the request ``number`` has ended, answered or not."""
+        self._sent_at_by_request.pop(number, None)
 
     def note_good(self, now: float) -> None:
-        """Take a whole answer."""
-        self._heard_at = now
-        self._failure_share *= 1 - NEWEST_WEIGHT
-        self._eject_s = EJECT_S
+        """Record a complete answer."""
+        self._answered_at = now
+        self._failure_ratio *= 1 - NEWEST_WEIGHT
+        self._next_ejection_s = MIN_EJECTION_S
 
     def note_failed(self, now: float) -> bool:
-        """Take a failure; return whether it ejects the endpoint."""
-        self._failure_share += NEWEST_WEIGHT * (1 - self._failure_share)
-        if self._failure_share < EJECT_SHARE:
+        """Record a failure; return whether the failure ratio calls for ejection."""
+        self._failure_ratio += NEWEST_WEIGHT * (1 - self._failure_ratio)
+        if self._failure_ratio < EJECTION_FAILURE_RATIO:
             return False
         self._eject(now)
         return True
 
     def note_unreachable(self, now: float) -> None:
-        """Take a refused or unanswered connection: nothing listens there."""
+        """Record a refused or unanswered connection: no process is listening."""
         self._eject(now)
         self._unreachable_until = self.ejected_until
 
     def _eject(self, now: float) -> None:
         if now < self.ejected_until:
             return
-        self.ejected_until = now + self._eject_s
-        self._eject_s = min(EJECT_MAX_S, self._eject_s * 2)
-        # Back just under the limit: one failure after the ejection ends
-        # it again, one good answer counts for the endpoint.
-        self._failure_share = EJECT_SHARE - NEWEST_WEIGHT / 2
+        self.ejected_until = now + self._next_ejection_s
+        self._next_ejection_s = min(MAX_EJECTION_S, self._next_ejection_s * 2)
+        # Restart just below the threshold: after the ejection, one failure ejects
+        # the endpoint again, while a success lowers its failure ratio.
+        self._failure_ratio = EJECTION_FAILURE_RATIO - NEWEST_WEIGHT / 2
--- a/packages/node/src/plantainloft_node/placing/pace.py
+++ b/packages/node/src/plantainloft_node/placing/pace.py
@@ -1,94 +1,94 @@
-"""How long a service's endpoints take to answer, as seen by this instance.
+"""Answer times of services and endpoints, as observed by this instance.
 
-Services differ tenfold in how long they work on a request. A fixed bound
-that tells a silent endpoint from one at work suits only some of them.
+Services differ tenfold in how long they work on a request, so no fixed timeout
+that distinguishes a silent endpoint from a busy one suits all of them.
 """
 
 from plantainloft_core.routes import RouteTable
 
-__all__ = ['EndpointPace', 'ServicePace', 'longest_wait_by_service']
+__all__ = ['EndpointLatency', 'ServiceLatency', 'longest_wait_by_service']
 
-# Weight of the newest answer: about 30 answers count, two seconds' worth
-# at 15 a second, so that one slow endpoint moves the estimate but little.
+# Weight of the newest answer in the moving averages: about 30 answers count (two
+# seconds at 15 a second), so one slow endpoint hardly changes the estimate.
 NEWEST_WEIGHT = 0.03
-# RFC 6298 bounds an answer's time by the mean and four mean deviations.
-DEVIATIONS = 4.0
-# Below this, a pause of this instance or a lost packet (sent again after
-# 0.2 s at least, twice at most) would pass for an endpoint's silence.
-SILENT_MIN_S = 0.9
-# A request must have time left to be tried elsewhere once its endpoint is
-# taken as silent.
-WAIT_PART = 0.75
-# For one endpoint about three answers count: it gets a few a second from
-# one instance, and each that meets a slow one may be lost.
-ENDPOINT_WEIGHT = 0.35
-ENDPOINT_FADES_S = 4.0
-# Before any answer, and before the routes are known.
-USUAL_S = 0.3
-LONGEST_WAIT_S = 1.2
-
-
-class ServicePace:
-    """Mean and deviation of the answer times of one service, in seconds."""
+# As in RFC 6298: the bound is the mean plus four times the mean deviation.
+DEVIATION_FACTOR = 4.0
+# With a shorter bound, a pause of this instance or a lost packet (retransmitted
+# after at least 0.2 s, at most twice) would look like a silent endpoint.
+MIN_SILENCE_S = 0.9
+# Detect a silent endpoint while enough of the request's timeout is left to try
+# another one.
+TIMEOUT_FRACTION = 0.75
+# About three answers count for one endpoint: an instance gets only a few a second
+# from it, and every request sent to a slow endpoint may time out.
+ENDPOINT_NEWEST_WEIGHT = 0.35
+ENDPOINT_DECAY_S = 4.0
+# Used before the first answer, and before the routes are known.
+DEFAULT_MEAN_S = 0.3
+DEFAULT_LONGEST_WAIT_S = 1.2
+
+
+class ServiceLatency:
+    """Mean and mean deviation of the answer times of one service, in seconds."""
 
     def __init__(self) -> None:
-        self.longest_wait_s = LONGEST_WAIT_S
+        self.longest_wait_s = DEFAULT_LONGEST_WAIT_S
         self._mean_s: float | None = None
         self._deviation_s = 0.0
 
     def note_answer(self, took_s: float) -> None:
-        """Take the time from sending a request to its whole answer."""
+        """Record the time from sending a request to the end of its answer."""
         if self._mean_s is None:
             self._mean_s = took_s
             self._deviation_s = took_s / 2
             return
-        gap_s = took_s - self._mean_s
-        self._deviation_s += NEWEST_WEIGHT * (abs(gap_s) - self._deviation_s)
-        self._mean_s += NEWEST_WEIGHT * gap_s
+        difference_s = took_s - self._mean_s
+        self._deviation_s += NEWEST_WEIGHT * (abs(difference_s) - self._deviation_s)
+        self._mean_s += NEWEST_WEIGHT * difference_s
 
     @property
     def usual_s(self) -> float:
-        """The mean time of an answer."""
-        return USUAL_S if self._mean_s is None else self._mean_s
+        """The mean answer time."""
+        return DEFAULT_MEAN_S if self._mean_s is None else self._mean_s
 
     @property
     def silent_after_s(self) -> float:
-        """An endpoint that answers nothing for this long is silent."""
-        most = max(SILENT_MIN_S, WAIT_PART * self.longest_wait_s)
+        """The time without any answer after which an endpoint counts as silent."""
+        max_silence_s = max(MIN_SILENCE_S, TIMEOUT_FRACTION * self.longest_wait_s)
         if self._mean_s is None:
-            return most
-        likely = self._mean_s + DEVIATIONS * self._deviation_s
-        return min(most, max(SILENT_MIN_S, likely))
+            return max_silence_s
+        likely_max_s = self._mean_s + DEVIATION_FACTOR * self._deviation_s
+        return min(max_silence_s, max(MIN_SILENCE_S, likely_max_s))
 
 
-class EndpointPace:
-    """How long one endpoint took to answer lately, in seconds.
+class EndpointLatency:
+    """Recent mean answer time of one endpoint, in seconds.
 
-    The estimate fades, since an endpoint that is avoided answers nothing
-    that could mend it: after a few seconds it is tried again.
+    The estimate decays, because an endpoint that is avoided as slow produces no
+    answers that could correct it: after a few seconds it is tried again.
     """
 
     def __init__(self) -> None:
-        self._took_s = 0.0
-        self._noted_at = 0.0
+        self._mean_s = 0.0
+        self._updated_at = 0.0
 
     def note_answer(self, took_s: float, now: float) -> None:
-        """Take the time of an answer."""
-        self._took_s += ENDPOINT_WEIGHT * (took_s - self._took_s)
-        self._noted_at = now
+        """Record the time of an answer."""
+        self._mean_s += ENDPOINT_NEWEST_WEIGHT * (took_s - self._mean_s)
+        self._updated_at = now
 
     def note_given_up(self, after_s: float, now: float) -> None:
-        """Take a request given up; its answer would have taken longer."""
-        if after_s > self._took_s:
+        """Record a request that was abandoned; its answer would have taken longer."""
+        if after_s > self._mean_s:
             self.note_answer(after_s, now)
 
     def recent_s(self, now: float) -> float:
-        """Return the mean time of an answer, less the older it is."""
-        return self._took_s * max(0.0, 1 - (now - self._noted_at) / ENDPOINT_FADES_S)
+        """Return the mean answer time, which decays to zero with its age."""
+        return self._mean_s * max(0.0, 1 - (now - self._updated_at) / ENDPOINT_DECAY_S)
 
 
 def longest_wait_by_service(table: RouteTable) -> dict[str, float]:
-    """Return the longest route time-out (s) of each service."""
+    """Return the longest route timeout of each service, in seconds."""
     longest: dict[str, float] = {}
     for routes in table.routes_by_host.values():
         for route in routes:
--- a/packages/node/src/plantainloft_node/placing/placement.py
+++ b/packages/node/src/plantainloft_node/placing/placement.py
@@ -1,9 +1,10 @@
-"""Choose the endpoint of one request: by affinity, within bounded load.
+"""Choice of the endpoint for a request, by key affinity within load limits.
 
-A pure stage: no clock of its own, no network. The endpoints of a service
-are ranked by the request's key, in the key's region before others; of the
-first in rank, the one that will answer soonest gets it. What no endpoint has
-room for is refused at once.
+Placement is a pure decision, without a clock of its own or network access. The
+endpoints of a service are ranked by the request's key, those in the key's region
+before others. Of the highest ranked ones, the request goes to the one that
+should answer first. A request for which no endpoint has capacity is refused at
+once.
 """
 
 from collections.abc import Mapping
@@ -19,30 +20,29 @@
 )
 from plantainloft_node.placing.cold import cold_share
 from plantainloft_node.placing.endpoints import EndpointBook, EndpointState
-from plantainloft_node.placing.regions import RegionShares, region_shares
+from plantainloft_node.placing.regions import RegionShares, target_region_shares
 from plantainloft_node.placing.spilling import SpillFall
 
 __all__ = ['NoCapacity', 'Placement', 'PlacementRequest', 'PlacementTerms', 'Selection']
 
-MAX_RANKINGS = 4096
-# Share of a service's endpoints that may be left out for failing; the rest
-# could not carry the load of more.
-MAX_EJECTED = 0.3
-# Endpoints that may serve one key: one in its region, one elsewhere. More
-# choices help a burst by a little and cost warmth everywhere.
+MAX_CACHED_RANKINGS = 4096
+# Fraction of a service's endpoints that may be ejected as failing. With more of
+# them ejected, the others could not carry the load.
+MAX_EJECTED_FRACTION = 0.3
+# Candidate endpoints of a key in its region and in other regions. More candidates
+# help a little in bursts, but leave fewer objects cached on every endpoint.
 NEAR_CANDIDATES = 1
 FAR_CANDIDATES = 1
 
 
 class PlacementTerms(NamedTuple):
-    """Bounds of the deployment that placement keeps.
-
-    ``cold_over`` and ``cold_slack`` bound what a cold endpoint may get in
-    a second, over all instances: rate times ``cold_over`` plus slack.
-    ``shift_step`` is the most that a region's share (0..1) moves at one
-    update, ``spill_step`` the most by which the share of its requests that
-    run outside their region for want of room falls, after a start, from one
-    ``shift_window_s`` to the next.
+    """Limits of the deployment that placement must keep.
+
+    All instances together may send a cold endpoint ``cold_over`` times its cold
+    rate plus ``cold_slack`` requests in a second. ``shift_step`` is the most by
+    which the shares (0..1) of regions change in one update. ``spill_step`` is the
+    most by which the share of requests that run outside their region for lack of
+    capacity falls, after startup, from one ``shift_window_s`` to the next.
     """
 
     region: str
@@ -55,7 +55,7 @@
 
 
 class Placement:
-    """Ranks endpoints by key and bounds the load of each."""
+    """Selects endpoints by key and limits the load of each."""
 
     def __init__(self, *, terms: PlacementTerms, book: EndpointBook) -> None:
         self.terms = terms
@@ -66,123 +66,130 @@
         self._ranked_generation = -1
         self._shares_by_service: dict[str, RegionShares] = {}
         self._failing_services: frozenset[str] = frozenset()
-        self._spills = SpillFall(window_s=terms.shift_window_s)
+        self._spill_fall = SpillFall(window_s=terms.shift_window_s)
 
     def choose(
-        self, wanted: PlacementRequest, spec: ServiceSpec, now: float
+        self, request: PlacementRequest, spec: ServiceSpec, now: float
     ) -> Selection | NoCapacity:
-        """Return the endpoint for ``wanted``, or that none has room."""
-        near, far = self._candidates(wanted, spec, now)
+        """Return the endpoint for ``request``, or that none has capacity."""
+        near, far = self._candidates(request, spec, now)
         if not near and not far:
             return NoCapacity(reason='no endpoint is usable')
-        ordered = [*near, *far]
-        quick = [state for state in ordered if not state.is_slow(now)] or ordered
-        if near and self._spills.is_too_fast(now, step=self.terms.spill_step):
-            # Shortly after a start: too many come back from far at once.
-            quick = [state for state in far if state.load(now) < state.record.slots] or quick
-        choice = earliest_completion(quick, wanted, now)
+        ranked = [*near, *far]
+        candidates = [state for state in ranked if not state.is_slow(now)] or ranked
+        if near and self._spill_fall.is_too_fast(now, step=self.terms.spill_step):
+            # Shortly after startup: spilled traffic would return too fast.
+            candidates = [
+                state for state in far if state.load(now) < state.record.slots
+            ] or candidates
+        choice = earliest_completion(candidates, request, now)
         if isinstance(choice, Selection):
             spilled = bool(near) and choice.endpoint in far
-            self._spills.note_request(now, spilled=spilled)
+            self._spill_fall.note_request(now, spilled=spilled)
         return choice
 
     @property
     def instance_count(self) -> int:
-        """The number of instances among which limits are shared out."""
+        """The number of instances among which limits are divided."""
         return len(self._region_by_instance)
 
     def spilled_share(self, now: float) -> float:
-        """Return the share (0..1) of requests that spilled lately."""
-        return self._spills.share(now)
+        """Return the share (0..1) of recent requests that spilled over."""
+        return self._spill_fall.share(now)
 
     def update_instances(self, region_by_instance: Mapping[str, str]) -> None:
-        """Take the instances among which limits are shared out."""
+        """Set the instances among which limits are divided, with their regions."""
         if self._region_by_instance != region_by_instance:
             self._region_by_instance = dict(region_by_instance)
             self._cold_share_by_id.clear()
 
     def update_ejections(self, now: float) -> None:
-        """Lift ejections of services that fail nearly everywhere.
+        """Ignore ejections in services with too many failing endpoints.
 
-        When most endpoints fail a part of their requests at once, leaving
-        them out leaves no one to serve: one would see every request
-        refused though half of them would have been answered.
+        When many endpoints fail part of their requests at the same time, ejecting
+        them leaves none to serve: every request would be refused although, for
+        example, half of them would succeed.
         """
         services = []
         for service in self._book.ids_by_service:
-            states = self._book.of_service(service)
+            states = self._book.endpoints_of(service)
             failing = sum(state.health.failing(now) for state in states)
-            if failing > len(states) * MAX_EJECTED:
+            if failing > len(states) * MAX_EJECTED_FRACTION:
                 services.append(service)
         self._failing_services = frozenset(services)
 
     def update_regions(self, demand_by_region: Mapping[str, Mapping[str, float]]) -> None:
-        """Take the demand (requests a second) by service and region."""
+        """Update the region shares for a demand (requests a second) by service and region."""
         for service in self._book.ids_by_service:
             slots = self._slots_by_region(service)
-            wanted = region_shares(
-                mine=self.terms.region, slots=slots, demand=demand_by_region.get(service, {})
+            target = target_region_shares(
+                own_region=self.terms.region, slots=slots, demand=demand_by_region.get(service, {})
             )
             shares = self._shares_by_service.get(service)
             if shares is None:
-                shares = RegionShares(mine=self.terms.region, step=self.terms.shift_step)
+                shares = RegionShares(own_region=self.terms.region, max_step=self.terms.shift_step)
                 self._shares_by_service[service] = shares
-            shares.update(wanted, slots)
+            shares.update(target, slots)
 
     def note_sent(self, state: EndpointState, now: float) -> None:
         """Count a request as sent to ``state``."""
         if state.is_cold(now):
-            state.cold_gate.note_sent(now)
+            state.cold_limiter.note_sent(now)
 
     def _candidates(
-        self, wanted: PlacementRequest, spec: ServiceSpec, now: float
+        self, request: PlacementRequest, spec: ServiceSpec, now: float
     ) -> tuple[list[EndpointState], list[EndpointState]]:
-        """Return the key's endpoints in its region, and elsewhere."""
-        region = self._region(wanted)
+        """Return the key's candidates in its region, and those elsewhere."""
+        region = self._region(request)
         near: list[EndpointState] = []
         far: list[EndpointState] = []
-        for name in self._ranking(wanted):
-            state = self._book.by_id[name]
-            group, most = (
+        for endpoint_id in self._ranking(request):
+            state = self._book.by_id[endpoint_id]
+            group, max_count = (
                 (near, NEAR_CANDIDATES) if state.region == region else (far, FAR_CANDIDATES)
             )
-            if len(group) >= most or name in wanted.tried:
+            if len(group) >= max_count or endpoint_id in request.tried:
                 continue
-            if self._may_use(state, wanted.route, spec, now):
+            if self._is_eligible(state, request.route, spec, now):
                 group.append(state)
         return near, far
 
-    def _region(self, wanted: PlacementRequest) -> str:
-        allowed = wanted.route.regions
-        shares = self._shares_by_service.get(wanted.service)
-        region = shares.region_of(wanted.key) if shares else None
+    def _region(self, request: PlacementRequest) -> str:
+        """Return the region in which the request's key should run."""
+        allowed = request.route.regions
+        shares = self._shares_by_service.get(request.service)
+        region = shares.region_of(request.key) if shares else None
         if region is None:
             region = self.terms.region
         if not allowed or region in allowed:
             return region
         if self.terms.region in allowed:
             return self.terms.region
-        return max(allowed, key=lambda name: score(wanted.key, name))
+        return max(allowed, key=lambda name: score(request.key, name))
 
     def _slots_by_region(self, service: str) -> dict[str, float]:
         slots: dict[str, float] = {}
-        for state in self._book.of_service(service):
+        for state in self._book.endpoints_of(service):
             usable = not (state.record.draining or state.record.zone in self._book.evacuated_zones)
             slots[state.region] = slots.get(state.region, 0.0) + state.record.slots * usable
         return slots
 
-    def _may_use(self, state: EndpointState, route: Route, spec: ServiceSpec, now: float) -> bool:
+    def _is_eligible(
+        self, state: EndpointState, route: Route, spec: ServiceSpec, now: float
+    ) -> bool:
         record = state.record
         if record.draining or record.zone in self._book.evacuated_zones:
             return False
         if route.regions and state.region not in route.regions:
             return False
-        failing_too = state.record.service in self._failing_services
-        if not state.health.usable(now, failing_too=failing_too):
+        include_failing = state.record.service in self._failing_services
+        if not state.health.usable(now, include_failing=include_failing):
             return False
-        return not state.is_cold(now) or state.cold_gate.open(now, share=self._share(state, spec))
+        return not state.is_cold(now) or state.cold_limiter.allows(
+            now, share=self._cold_share(state, spec)
+        )
 
-    def _share(self, state: EndpointState, spec: ServiceSpec) -> int:
+    def _cold_share(self, state: EndpointState, spec: ServiceSpec) -> int:
         terms = self.terms
         bound = spec.cold_rate * terms.cold_over + terms.cold_slack
         known = self._cold_share_by_id.get((state.record.id, bound))
@@ -198,17 +205,17 @@
         self._cold_share_by_id[(state.record.id, bound)] = share
         return share
 
-    def _ranking(self, wanted: PlacementRequest) -> list[str]:
+    def _ranking(self, request: PlacementRequest) -> list[str]:
         if self._ranked_generation != self._book.generation:
             self._ranking_by_key.clear()
             self._cold_share_by_id.clear()
             self._ranked_generation = self._book.generation
-        cache_key = (wanted.service, wanted.key)
+        cache_key = (request.service, request.key)
         ranking = self._ranking_by_key.get(cache_key)
         if ranking is None:
-            if len(self._ranking_by_key) >= MAX_RANKINGS:
+            if len(self._ranking_by_key) >= MAX_CACHED_RANKINGS:
                 self._ranking_by_key.clear()
-            ids = self._book.ids_by_service.get(wanted.service, ())
-            ranking = sorted(ids, key=lambda name: -score(wanted.key, name))
+            ids = self._book.ids_by_service.get(request.service, ())
+            ranking = sorted(ids, key=lambda endpoint_id: -score(request.key, endpoint_id))
             self._ranking_by_key[cache_key] = ranking
         return ranking
--- a/packages/node/src/plantainloft_node/placing/regions.py
+++ b/packages/node/src/plantainloft_node/placing/regions.py
@@ -1,11 +1,11 @@
-"""Which region a key's requests run in, by capacity and demand.
-
-Callers are spread over the regions unlike the endpoints are: a region
-with a third of the callers may have a fourteenth of the slots. Filling
-the near region first and spilling what is left moves each object between
-regions from one request to the next, and it is warm nowhere. Here every
-region's callers get a share of each region's slots that changes slowly,
-and each key has a fixed place in it.
+"""Region in which the requests for a key run, by capacity and demand.
+
+Callers are distributed over the regions differently from endpoints: a region
+with a third of the callers may have a fourteenth of the slots. Filling the
+nearest region first and spilling the remainder would move each object between
+regions from one request to the next, so that it is cached in none of them.
+Instead, the callers of every region get a slowly changing share of the slots of
+each region, and each key has a fixed position in these shares.
 """
 
 import math
@@ -13,117 +13,131 @@
 
 from plantainloft_node.placing.affinity import score
 
-__all__ = ['RegionShares', 'region_shares']
+__all__ = ['RegionShares', 'target_region_shares']
 
-# A region's own callers may load it this much above the average of all
-# regions before the rest of them is sent on: near is a few tens of
-# milliseconds faster, and bytes between regions are paid for. More leaves a
-# small region no room for a wave.
+# A region's own callers may load it up to this multiple of the average load of
+# all regions before the rest of them is sent elsewhere: the own region is a few
+# tens of milliseconds faster, and traffic between regions is charged. A higher
+# value leaves a small region no headroom for a wave of traffic.
 LOCAL_MARGIN = 2.0
-# A region counts as having lost slots when fewer than this part is left of
-# what it had; that is forgotten over a few seconds of updates.
-_KEPT_PART = 0.75
-_FADE = 0.95
+# A region counts as having lost slots when less than this fraction of its recent
+# maximum is left. The maximum decays over a few seconds of updates.
+_REMAINING_FRACTION = 0.75
+_MAX_SLOTS_DECAY = 0.95
 _SCORE_RANGE = 4294967296.0
 
 
-def region_shares(
-    *, mine: str, slots: Mapping[str, float], demand: Mapping[str, float]
+def target_region_shares(
+    *, own_region: str, slots: Mapping[str, float], demand: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return the share (0..1) of ``mine``'s requests for each region.
+    """Return the target share (0..1) of ``own_region``'s requests for each region.
 
-    ``slots`` are the usable slots by region, ``demand`` the requests a
-    second of each region's callers.
+    ``slots`` are the usable slots by region, ``demand`` the requests a second
+    of each region's callers.
     """
     total_slots = sum(slots.values())
     if not total_slots:
         return {}
     if not any(demand.values()):
-        # Nobody has asked yet. Taken as no demand, a region with few slots
-        # would keep all its callers, and shares move too slowly to mend
-        # that: one would see it overrun for the first twenty seconds.
-        demand = dict.fromkeys((*slots, mine), 1.0)
-    level = LOCAL_MARGIN * sum(demand.values()) / total_slots
-    here = slots.get(mine, 0.0)
-    wanted = demand.get(mine, 0.0)
-    local = min(1.0, here * level / wanted) if wanted > 0 else min(1.0, here)
-    others = {name: count for name, count in slots.items() if name != mine and count > 0}
+        # No requests yet. If this counted as zero demand, a region with few
+        # slots would keep all its callers. Shares change too slowly to correct
+        # that, and the region would be overloaded for the first 20 seconds.
+        demand = dict.fromkeys((*slots, own_region), 1.0)
+    max_local_load = LOCAL_MARGIN * sum(demand.values()) / total_slots
+    own_slots = slots.get(own_region, 0.0)
+    own_demand = demand.get(own_region, 0.0)
+    local = (
+        min(1.0, own_slots * max_local_load / own_demand) if own_demand > 0 else min(1.0, own_slots)
+    )
+    others = {name: count for name, count in slots.items() if name != own_region and count > 0}
     if not others:
-        return {mine: 1.0}
-    free = {name: _free(count, demand.get(name, 0.0), level) for name, count in others.items()}
+        return {own_region: 1.0}
+    free = {
+        name: _spare_capacity(count, demand.get(name, 0.0), max_local_load)
+        for name, count in others.items()
+    }
     weights = free if any(free.values()) else others
-    rest = (1 - local) / sum(weights.values())
-    return {mine: local, **{name: rest * weight for name, weight in weights.items()}}
+    per_weight = (1 - local) / sum(weights.values())
+    return {own_region: local, **{name: per_weight * weight for name, weight in weights.items()}}
 
 
 class RegionShares:
-    """The shares in force, moved slowly towards those wanted."""
+    """The shares in effect, which move slowly towards their targets."""
 
-    def __init__(self, *, mine: str, step: float) -> None:
-        """``step``: the most that a share moves at one update."""
-        self._mine = mine
-        self._step = step
+    def __init__(self, *, own_region: str, max_step: float) -> None:
+        """``max_step``: the most by which shares move in one update."""
+        self._own_region = own_region
+        self._max_step = max_step
         self._shares: dict[str, float] = {}
-        self._slots: dict[str, float] = {}
+        self._max_slots: dict[str, float] = {}
 
-    def update(self, wanted: dict[str, float], slots: Mapping[str, float]) -> None:
-        """Move towards ``wanted``; at once where slots were lost.
+    def update(self, target: dict[str, float], slots: Mapping[str, float]) -> None:
+        """Move towards ``target``, or switch to it at once if a region lost slots.
 
-        Moving slowly keeps each shift of traffic within its cap. A region
-        that lost a good part of its slots would be overrun meanwhile.
+        Moving slowly keeps each traffic shift within the shift cap. A region
+        that lost a large part of its slots would be overloaded in the meantime.
         """
-        if not self._shares or _lost_slots(self._slots, slots):
-            self._shares = dict(wanted)
-            self._slots = dict(slots)
+        if not self._shares or _lost_slots(self._max_slots, slots):
+            self._shares = dict(target)
+            self._max_slots = dict(slots)
             return
-        self._slots = {
-            name: max(count, self._slots.get(name, 0.0) * _FADE) for name, count in slots.items()
+        self._max_slots = {
+            name: max(count, self._max_slots.get(name, 0.0) * _MAX_SLOTS_DECAY)
+            for name, count in slots.items()
         }
-        names = set(wanted) | set(self._shares)
-        # What one region loses others gain: half of all differences moves.
-        far = sum(self._distance(name, wanted) for name in names) / 2
-        part = min(1.0, self._step / far) if far > 0 else 1.0
-        self._shares = {name: self._moved(name, wanted, part) for name in names}
+        names = set(target) | set(self._shares)
+        # What one region loses, others gain: half of all differences moves.
+        distance = sum(self._difference(name, target) for name in names) / 2
+        fraction = min(1.0, self._max_step / distance) if distance > 0 else 1.0
+        self._shares = {name: self._interpolated(name, target, fraction) for name in names}
 
     def current(self) -> dict[str, float]:
         """Return the share (0..1) of each region."""
         return dict(self._shares)
 
     def region_of(self, key: str) -> str | None:
-        """Return the region of ``key``, if there is any.
-
-        Laid out side by side, all borders would move with each share, and
-        keys would change between regions whose shares stay: to endpoints
-        that do not remember them. Here the own region's keys are those of
-        the lowest hashes, and the others are drawn by weighted hashes, so a
-        key moves only from where less is wanted to where more is.
+        """Return the region of ``key``, or none if there are no shares.
+
+        If the shares were consecutive ranges of hashes, changing one of them
+        would move all boundaries after it, and keys would move between regions
+        whose shares did not change, to endpoints that don't have their objects
+        cached. Instead, the own region has the keys with the lowest hashes, and
+        the other keys are assigned by weighted rendezvous hashing: a key moves
+        only from a region whose share falls to one whose share grows.
         """
-        if score(key, 'region') < self._shares.get(self._mine, 0.0) * _SCORE_RANGE:
-            return self._mine
+        if score(key, 'region') < self._shares.get(self._own_region, 0.0) * _SCORE_RANGE:
+            return self._own_region
         others = {
-            name: share for name, share in self._shares.items() if share > 0 and name != self._mine
+            name: share
+            for name, share in self._shares.items()
+            if share > 0 and name != self._own_region
         }
         if not others:
-            return self._mine if self._shares.get(self._mine) else None
-        return min(others, key=lambda name: _weighted(key, name, others[name]))
+            return self._own_region if self._shares.get(self._own_region) else None
+        return min(others, key=lambda name: _weighted_draw(key, name, others[name]))
+
+    def _difference(self, name: str, target: dict[str, float]) -> float:
+        return abs(target.get(name, 0.0) - self._shares.get(name, 0.0))
 
-    def _distance(self, name: str, wanted: dict[str, float]) -> float:
-        return abs(wanted.get(name, 0.0) - self._shares.get(name, 0.0))
+    def _interpolated(self, name: str, target: dict[str, float], fraction: float) -> float:
+        current = self._shares.get(name, 0.0)
+        return current + fraction * (target.get(name, 0.0) - current)
 
-    def _moved(self, name: str, wanted: dict[str, float], part: float) -> float:
-        before = self._shares.get(name, 0.0)
-        return before + part * (wanted.get(name, 0.0) - before)
 
+def _weighted_draw(key: str, name: str, share: float) -> float:
+    """Return the draw of ``name`` for ``key``.
 
-def _weighted(key: str, name: str, share: float) -> float:
-    """Return the draw of ``name`` for ``key``; the least wins as often as its share."""
-    drawn = (score(key, name) + 1) / (_SCORE_RANGE + 1)
-    return -math.log(drawn) / share
+    Over many keys, a region has the lowest draw in proportion to its share.
+    """
+    uniform = (score(key, name) + 1) / (_SCORE_RANGE + 1)
+    return -math.log(uniform) / share
 
 
-def _free(slots: float, demand: float, level: float) -> float:
-    return max(0.0, slots * level - demand)
+def _spare_capacity(slots: float, demand: float, max_load: float) -> float:
+    return max(0.0, slots * max_load - demand)
 
 
-def _lost_slots(before: Mapping[str, float], now: Mapping[str, float]) -> bool:
-    return any(now.get(name, 0.0) < count * _KEPT_PART for name, count in before.items())
+def _lost_slots(max_slots: Mapping[str, float], slots: Mapping[str, float]) -> bool:
+    return any(
+        slots.get(name, 0.0) < count * _REMAINING_FRACTION for name, count in max_slots.items()
+    )
--- a/packages/node/src/plantainloft_node/placing/spilling.py
+++ b/packages/node/src/plantainloft_node/placing/spilling.py
@@ -1,62 +1,64 @@
-"""Requests that run outside their region because their endpoint is full.
+"""Spillover: requests that run outside their region because their endpoint is full.
 
-At a start all objects are cold and every free slot anywhere is needed, so
-a good part of the requests spills. Two seconds later the own region has
-room. Taken back at once, more of a region's traffic changes its region
-from one moment to the next than a shift may. Let to fall slowly, it stays
-within that.
+At startup all objects are cold and every free slot anywhere is needed, so a
+large part of the requests spills over. About two seconds later the own region
+has free slots. If all spilled traffic returned at once, more of a region's
+traffic would change its region than the traffic shift cap allows; if the
+spilled share falls slowly, the shift stays within the cap.
 
-Later spills are not bounded: with demand that goes in waves from region to
-region, a bound has callers refused while there is room elsewhere.
+Later spillover is not limited: when demand moves in waves from region to
+region, a limit would refuse callers while other regions have free slots.
 """
 
-from plantainloft_node.placing.budget import WindowCount
+from plantainloft_node.placing.budget import SlidingWindowCounter
 
 __all__ = ['SpillFall']
 
 
 class SpillFall:
-    """Lets the share of spilled requests fall slowly after a start.
+    """Limits how fast the share of spilled requests falls after startup.
 
-    From one window to the next it falls by ``step`` at most, though the
-    own region has room again, until it is no more than ``step``. Ended
-    after a fixed time, what is left of it would come back at once.
+    From one window to the next the share falls by at most ``step``, even if the
+    own region has free slots, until it is ``step`` or less. Ending the limit
+    after a fixed time would return the remaining traffic all at once.
     """
 
     def __init__(self, *, window_s: float) -> None:
-        self._requests = WindowCount(window_s=window_s)
-        self._spilled = WindowCount(window_s=window_s)
-        self._requests_of_both = WindowCount(window_s=2 * window_s)
-        self._spilled_of_both = WindowCount(window_s=2 * window_s)
+        self._requests = SlidingWindowCounter(window_s=window_s)
+        self._spilled = SlidingWindowCounter(window_s=window_s)
+        self._requests_in_two_windows = SlidingWindowCounter(window_s=2 * window_s)
+        self._spilled_in_two_windows = SlidingWindowCounter(window_s=2 * window_s)
         self._window_s = window_s
         self._started_at: float | None = None
-        self._has_fallen = False
+        self._is_finished = False
 
     def note_request(self, now: float, *, spilled: bool) -> None:
         """Count a request that is sent."""
         if self._started_at is None:
             self._started_at = now
         self._requests.add(now)
-        self._requests_of_both.add(now)
+        self._requests_in_two_windows.add(now)
         if spilled:
             self._spilled.add(now)
-            self._spilled_of_both.add(now)
+            self._spilled_in_two_windows.add(now)
 
     def share(self, now: float) -> float:
-        """Return the share (0..1) of the last window's requests that spilled."""
+        """Return the share (0..1) of the last window's requests that spilled over."""
         return self._spilled.count(now) / max(1, self._requests.count(now))
 
     def is_too_fast(self, now: float, *, step: float) -> bool:
-        """Return whether the share falls by more than ``step``."""
-        if self._has_fallen or self._started_at is None:
+        """Return whether the spilled share is falling by more than ``step``."""
+        if self._is_finished or self._started_at is None:
             return False
-        requests = self._requests_of_both.count(now) - self._requests.count(now)
-        if not requests:
+        previous_requests = self._requests_in_two_windows.count(now) - self._requests.count(now)
+        if not previous_requests:
             return False
-        spilled = self._spilled_of_both.count(now) - self._spilled.count(now)
-        if spilled <= step * requests:
-            # The very first requests find room; they tell nothing yet.
-            self._has_fallen = now - self._started_at > 2 * self._window_s
+        previous_spilled = self._spilled_in_two_windows.count(now) - self._spilled.count(now)
+        if previous_spilled <= step * previous_requests:
+            # The very first requests find free slots, so a low share in the
+            # first windows does not mean that the spillover has ended.
+            self._is_finished = now - self._started_at > 2 * self._window_s
             return False
-        least = (spilled / requests - step) * (self._requests.count(now) + 1)
-        return self._spilled.count(now) + 1 <= least
+        previous_share = previous_spilled / previous_requests
+        min_spilled = (previous_share - step) * (self._requests.count(now) + 1)
+        return self._spilled.count(now) + 1 <= min_spilled
--- a/tests/test_expecting.py
+++ b/tests/test_expecting.py
@@ -1,4 +1,4 @@
-"""How long an answer will take, and what placement makes of it."""
+"""Prediction of answer times, and its use in placement."""
 
 import pytest
 from entry_fixtures import SERVICE, route
@@ -6,7 +6,12 @@
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.routes import ServiceSpec
 from plantainloft_node.placing.endpoints import EndpointBook, EndpointState
-from plantainloft_node.placing.expecting import KEPT_KEYS, KEPT_S, RecentKeys, WorkTimes
+from plantainloft_node.placing.expecting import (
+    MAX_RECENT_KEYS,
+    RECENT_KEY_TTL_S,
+    ProcessingTimes,
+    RecentKeys,
+)
 from plantainloft_node.placing.placement import (
     Placement,
     PlacementRequest,
@@ -38,19 +43,19 @@
 
 @pytest.fixture
 def book() -> EndpointBook:
-    """One endpoint here and one in another region, both idle.
+    """Return one endpoint in the own region and one in another, both idle.
 
-    Work on a remembered object takes 0.15 s, on another one 0.48 s.
+    Processing takes 0.15 s if the object is cached, 0.48 s otherwise.
     """
     book = EndpointBook(region_by_zone={'a': 'ankara', 'i': 'izmir'})
     book.put(record('near', 'a'), NOW)
     book.put(record('far', 'i'), NOW)
     book.by_id['near'].note_connected(0.001)
     book.by_id['far'].note_connected(ROUND_TRIP_S)
-    work = book.work_by_service[SERVICE]
-    work.note(0.48, remembered=False)
+    processing = book.work_by_service[SERVICE]
+    processing.note(0.48, remembered=False)
     for _ in range(200):
-        work.note(0.15, remembered=True)
+        processing.note(0.15, remembered=True)
     return book
 
 
@@ -72,63 +77,63 @@
     return placement
 
 
-def chosen(placement: Placement) -> str:
-    wanted = PlacementRequest(ROUTE, SERVICE, KEY, frozenset(), 2.0)
-    choice = placement.choose(wanted, SPEC, NOW)
+def chosen_id(placement: Placement) -> str:
+    request = PlacementRequest(ROUTE, SERVICE, KEY, frozenset(), 2.0)
+    choice = placement.choose(request, SPEC, NOW)
     assert isinstance(choice, Selection)
     return choice.endpoint.record.id
 
 
-def loaded(state: EndpointState, busy: int) -> None:
+def report_load(state: EndpointState, busy: int) -> None:
     state.note_report(busy=busy, now=NOW)
 
 
-def test_a_request_waits_for_who_remembers_its_object(
+def test_a_request_queues_at_the_endpoint_that_has_its_object_cached(
     placement: Placement, near: EndpointState, far: EndpointState
 ) -> None:
-    """Symptom: on an ordinary day 100 of 103 requests that found their
-    endpoint full and ran elsewhere were late; of 72 that waited, five were.
+    """Requests must not run elsewhere because their endpoint is full for a moment.
 
-    Their endpoint had no free slot for a few tens of milliseconds. Where
-    they were sent instead nobody had worked on their objects, which takes
-    three times as long.
+    The endpoint had no free slot for a few tens of milliseconds. The endpoint that
+    the requests were sent to instead did not have their objects cached, and
+    processing took three times as long. Under usual load, 100 of 103 such requests
+    were late, but only five of 72 that queued.
     """
-    loaded(near, SLOTS)
-    loaded(far, 0)
+    report_load(near, SLOTS)
+    report_load(far, 0)
     near.keys.note(KEY, NOW)
-    assert chosen(placement) == 'near'
+    assert chosen_id(placement) == 'near'
 
 
-def test_a_free_endpoint_that_remembers_too_is_worth_the_way(
+def test_a_free_remote_endpoint_is_used_if_it_has_the_object_cached_too(
     placement: Placement, near: EndpointState, far: EndpointState
 ) -> None:
-    loaded(far, 0)
+    report_load(far, 0)
     for state in (near, far):
         state.keys.note(KEY, NOW)
-    loaded(near, SLOTS)
-    assert chosen(placement) == 'near'
-    loaded(near, 2 * SLOTS)
-    assert chosen(placement) == 'far'
+    report_load(near, SLOTS)
+    assert chosen_id(placement) == 'near'
+    report_load(near, 2 * SLOTS)
+    assert chosen_id(placement) == 'far'
 
 
-def test_a_request_runs_elsewhere_once_the_queue_is_full(
+def test_a_request_runs_elsewhere_when_the_queue_is_full(
     placement: Placement, near: EndpointState, far: EndpointState
 ) -> None:
-    """Nobody else remembers its object, and waiting is over."""
-    loaded(far, 0)
-    loaded(near, 2 * SLOTS)
-    assert chosen(placement) == 'near'
-    loaded(near, 3 * SLOTS)
-    assert chosen(placement) == 'far'
+    """A full queue is the only reason to use an endpoint without the object cached."""
+    report_load(far, 0)
+    report_load(near, 2 * SLOTS)
+    assert chosen_id(placement) == 'near'
+    report_load(near, 3 * SLOTS)
+    assert chosen_id(placement) == 'far'
 
 
-def test_a_new_incarnation_remembers_nothing(book: EndpointBook, near: EndpointState) -> None:
+def test_a_new_incarnation_has_nothing_cached(book: EndpointBook, near: EndpointState) -> None:
     near.keys.note(KEY, NOW)
     book.put(near.record._replace(born_ms=1), NOW)
     assert not book.by_id['near'].keys.has(KEY, NOW)
 
 
-def test_work_is_told_apart_from_the_way_and_the_wait(
+def test_processing_times_exclude_round_trip_and_queueing(
     book: EndpointBook, far: EndpointState
 ) -> None:
     before = book.work_by_service[SERVICE].expected_s(remembered=False)
@@ -139,18 +144,18 @@
     assert after == pytest.approx(0.48, abs=0.01)
 
 
-def test_before_any_answer_on_a_remembered_object_none_is_expected_sooner() -> None:
-    work = WorkTimes()
-    work.note(0.5, remembered=False)
-    assert work.expected_s(remembered=True) == 0.5
-    work.note(0.2, remembered=True)
-    assert work.expected_s(remembered=True) == 0.2
+def test_before_any_answer_on_a_cached_object_the_uncached_time_is_expected() -> None:
+    processing = ProcessingTimes()
+    processing.note(0.5, remembered=False)
+    assert processing.expected_s(remembered=True) == 0.5
+    processing.note(0.2, remembered=True)
+    assert processing.expected_s(remembered=True) == 0.2
 
 
-def test_memory_is_bounded_and_fades() -> None:
+def test_recent_keys_are_limited_in_number_and_expire() -> None:
     keys = RecentKeys()
-    for number in range(KEPT_KEYS + 1):
+    for number in range(MAX_RECENT_KEYS + 1):
         keys.note(str(number), NOW)
     assert not keys.has('0', NOW)
     assert keys.has('1', NOW)
-    assert not keys.has('1', NOW + KEPT_S)
+    assert not keys.has('1', NOW + RECENT_KEY_TTL_S)
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""Silence is told from work by how long the service's answers take."""
+"""Silent endpoints are distinguished from busy ones by the service's answer times."""
 
 import pytest
 from entry_fixtures import SERVICE, route, table_of
@@ -6,55 +6,57 @@
 from plantainloft_core.outcomes import Invalid
 from plantainloft_node.placing.endpoints import EndpointBook
 from plantainloft_node.placing.health import EndpointHealth
-from plantainloft_node.placing.pace import ServicePace, longest_wait_by_service
+from plantainloft_node.placing.pace import ServiceLatency, longest_wait_by_service
 from plantainloft_node.replica.beliefs import Beliefs
 from plantainloft_node.replica.news import EndpointListed, NewsRow, RoutesDeclared
 
 NOW = 1000.0
 
 
-def pace_of(*answers: float, longest_wait_s: float = 4.0) -> ServicePace:
-    pace = ServicePace()
-    pace.longest_wait_s = longest_wait_s
+def latency_of(*answers: float, longest_wait_s: float = 4.0) -> ServiceLatency:
+    latency = ServiceLatency()
+    latency.longest_wait_s = longest_wait_s
     for took_s in answers:
-        pace.note_answer(took_s)
-    return pace
+        latency.note_answer(took_s)
+    return latency
 
 
 def test_one_long_request_does_not_make_an_endpoint_silent() -> None:
-    """Symptom: healthy endpoints of a slow service get no requests.
+    """Healthy endpoints of a slow service must stay in use.
 
-    One request is at work there for longer than 0.9 s, which is usual for
-    the service. The bound was fixed at 0.9 s, and the endpoint was left
-    out and its connections were dropped until the answer came.
+    With a fixed bound of 0.9 s, an endpoint that worked longer than that on one
+    request was avoided and its connections were closed until the answer came,
+    although such times are usual for the service.
     """
-    health = EndpointHealth(pace=pace_of(1.4, 1.7, 1.2, 1.9, 1.5))
+    health = EndpointHealth(latency=latency_of(1.4, 1.7, 1.2, 1.9, 1.5))
     health.note_sent(1, NOW)
     assert health.usable(NOW + 1.8)
     assert not health.usable(NOW + 3.1)
 
 
-def test_a_quick_service_is_judged_by_the_least_bound() -> None:
-    health = EndpointHealth(pace=pace_of(*([0.05] * 200)))
+def test_the_minimum_bound_applies_to_a_fast_service() -> None:
+    health = EndpointHealth(latency=latency_of(*([0.05] * 200)))
     health.note_sent(1, NOW)
     assert health.usable(NOW + 0.8)
     assert not health.usable(NOW + 1.0)
 
 
-def test_an_overload_does_not_hide_silence_beyond_the_routes_timeout() -> None:
-    """Under overload answers take long and unevenly; a bound that follows
-    them without end would leave no time to try an endpoint that answers.
+def test_under_overload_the_bound_stays_below_the_route_timeout() -> None:
+    """A silent endpoint must be detected in time to try another one.
+
+    Under overload, answer times are long and vary widely; a bound that followed
+    them without a limit would leave no time.
     """
-    pace = pace_of(*([0.2, 1.2] * 100), longest_wait_s=1.2)
-    assert pace.silent_after_s == pytest.approx(0.9)
+    latency = latency_of(*([0.2, 1.2] * 100), longest_wait_s=1.2)
+    assert latency.silent_after_s == pytest.approx(0.9)
 
 
-def test_without_answers_the_routes_decide() -> None:
-    assert pace_of(longest_wait_s=4.0).silent_after_s == pytest.approx(3.0)
-    assert pace_of(longest_wait_s=0.4).silent_after_s == pytest.approx(0.9)
+def test_before_any_answer_the_bound_follows_the_route_timeout() -> None:
+    assert latency_of(longest_wait_s=4.0).silent_after_s == pytest.approx(3.0)
+    assert latency_of(longest_wait_s=0.4).silent_after_s == pytest.approx(0.9)
 
 
-def test_the_longest_route_of_a_service_counts() -> None:
+def test_the_longest_route_timeout_of_a_service_applies() -> None:
     table = table_of(
         route(idempotent=True, prefix='/a/', timeout_s=1.5),
         route(idempotent=False, prefix='/b/', timeout_s=2.5),
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Decisions on placement: pure, with time handed in."""
+"""Placement decisions: pure functions of their state and of the time passed in."""
 
 import itertools
 
@@ -9,7 +9,7 @@
 
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.routes import ServiceShare, ServiceSpec
-from plantainloft_node.placing.budget import Allowance, RetryBudget, WindowCount
+from plantainloft_node.placing.budget import Allowance, RetryBudget, SlidingWindowCounter
 from plantainloft_node.placing.cold import cold_share
 from plantainloft_node.placing.endpoints import EndpointBook
 from plantainloft_node.placing.placement import (
@@ -59,27 +59,28 @@
     return placement
 
 
-def wanted(key: str = '7', **terms: object) -> PlacementRequest:
-    tried = terms.pop('tried', frozenset())
-    left_s = terms.pop('left_s', 2.0)
-    return PlacementRequest(ROUTE._replace(**terms), SERVICE, key, frozenset(tried), left_s)  # type: ignore[arg-type,call-overload]
+def request(key: str = '7', **changes: object) -> PlacementRequest:
+    """Return a placement request; ``changes`` may also set fields of its route."""
+    tried = changes.pop('tried', frozenset())
+    left_s = changes.pop('left_s', 2.0)
+    return PlacementRequest(ROUTE._replace(**changes), SERVICE, key, frozenset(tried), left_s)  # type: ignore[arg-type,call-overload]
 
 
-def choose(placement: Placement, key: str = '7', **terms: object) -> str:
-    choice = placement.choose(wanted(key, **terms), SPEC, NOW)
+def chosen_id(placement: Placement, key: str = '7', **changes: object) -> str:
+    choice = placement.choose(request(key, **changes), SPEC, NOW)
     assert isinstance(choice, Selection)
     return choice.endpoint.record.id
 
 
 def test_a_key_goes_to_the_same_endpoint_from_every_instance(book: EndpointBook) -> None:
-    terms = [PlacementTerms('ankara', f'e{number}', 1.5, 5.0) for number in range(4)]
-    placements = [Placement(terms=one, book=book) for one in terms]
+    all_terms = [PlacementTerms('ankara', f'e{number}', 1.5, 5.0) for number in range(4)]
+    placements = [Placement(terms=terms, book=book) for terms in all_terms]
     for key in map(str, range(50)):
-        assert len({choose(placement, key) for placement in placements}) == 1
+        assert len({chosen_id(placement, key) for placement in placements}) == 1
 
 
 def test_keys_spread_over_the_own_region(placement: Placement) -> None:
-    chosen = [choose(placement, str(key)) for key in range(600)]
+    chosen = [chosen_id(placement, str(key)) for key in range(600)]
     counts = [chosen.count(f'a{number}') for number in range(6)]
     assert sum(counts) == 600
     assert min(counts) > 60
@@ -88,28 +89,32 @@
 def test_only_the_keys_of_an_endpoint_that_left_move(
     placement: Placement, book: EndpointBook
 ) -> None:
-    before = {key: choose(placement, key) for key in map(str, range(200))}
+    before = {key: chosen_id(placement, key) for key in map(str, range(200))}
     book.drop('a3')
-    moved = {key for key, endpoint in before.items() if choose(placement, key) != endpoint}
+    moved = {key for key, endpoint in before.items() if chosen_id(placement, key) != endpoint}
     assert moved == {key for key, endpoint in before.items() if endpoint == 'a3'}
 
 
 def spilled_of_100(placement: Placement, book: EndpointBook, at: float, *, full: int) -> int:
-    """Send 100 requests with ``full`` near queues full; count the spills."""
+    """Place 100 requests with ``full`` queues of the own region full; count spilled ones."""
     for number in range(6):
         book.by_id[f'a{number}'].note_report(busy=8 * (number < full), now=at)
-    sent = [placement.choose(wanted(str(key)), SPEC, at) for key in range(100)]
-    return sum(isinstance(one, Selection) and one.endpoint.region == 'izmir' for one in sent)
+    choices = [placement.choose(request(str(key)), SPEC, at) for key in range(100)]
+    return sum(
+        isinstance(choice, Selection) and choice.endpoint.region == 'izmir' for choice in choices
+    )
 
 
-def test_after_a_start_spills_fall_slowly(placement: Placement, book: EndpointBook) -> None:
-    """Symptom: 24 in 100 of a region's requests change their region within
-    two seconds, where 15 in 100 may.
+def test_the_spilled_share_falls_slowly_after_startup(
+    placement: Placement, book: EndpointBook
+) -> None:
+    """Too much traffic must not change its region at once when spillover ends.
 
-    At a start all objects are cold, endpoints are full, and requests spill
-    to another region. Two seconds later their own has room again, and all
-    of them were taken back at once. Let to fall slowly for ten seconds only,
-    29 in 100 came back at once after those.
+    At startup all objects are cold and endpoints are full, so requests spill over
+    to another region. When their own region had free slots two seconds later, all
+    of them returned at once: 24 in 100 requests changed their region within two
+    seconds, where 15 in 100 may. With a limit on the fall that ended after ten
+    seconds, 29 in 100 returned at that moment.
     """
     placement.terms = placement.terms._replace(spill_step=0.1)
     shares = [
@@ -121,7 +126,7 @@
     assert max(falls) <= 11
 
 
-def test_long_after_a_start_spills_come_back_at_once(
+def test_long_after_startup_spilled_traffic_returns_at_once(
     placement: Placement, book: EndpointBook
 ) -> None:
     shares = [
@@ -134,26 +139,26 @@
 def test_a_slow_endpoint_is_avoided_and_tried_again(
     placement: Placement, book: EndpointBook
 ) -> None:
-    """Symptom: for ten seconds requests go to five of twelve endpoints that
-    have turned slow; half of them are given up at the time-out.
+    """Slow endpoints must be avoided although they still answer.
 
-    They answer, so nothing left them out, and load is believed there only
-    for a moment after each report.
+    Five of twelve endpoints had become slow. They did not fail, so they were not
+    ejected, and their load was known only for a moment after each report. For ten
+    seconds they were sent requests, half of which timed out.
     """
     later = NOW + 30
-    first = choose(placement)
+    first = chosen_id(placement)
     for _ in range(50):
         book.pace_of(SERVICE).note_answer(0.2)
     for _ in range(4):
         book.by_id[first].note_given_up(1.0, later)
     assert book.by_id[first].is_slow(later)
-    choice = placement.choose(wanted(), SPEC, later)
+    choice = placement.choose(request(), SPEC, later)
     assert isinstance(choice, Selection) and choice.endpoint.record.id != first
-    again = placement.choose(wanted(), SPEC, later + 4)
+    again = placement.choose(request(), SPEC, later + 4)
     assert isinstance(again, Selection) and again.endpoint.record.id == first
 
 
-def test_an_endpoint_that_warms_up_is_not_taken_for_a_slow_one(book: EndpointBook) -> None:
+def test_an_endpoint_that_warms_up_does_not_count_as_slow(book: EndpointBook) -> None:
     book.put(record('new', cold_s=3.0), NOW)
     state = book.by_id['new']
     for _ in range(50):
@@ -168,31 +173,32 @@
 ) -> None:
     for number in range(6):
         book.by_id[f'a{number}'].note_report(busy=8, now=NOW)
-    assert choose(placement).startswith('i')
+    assert chosen_id(placement).startswith('i')
 
 
-def test_the_least_urgent_are_refused_first(placement: Placement, book: EndpointBook) -> None:
+def test_the_lowest_priority_is_refused_first(placement: Placement, book: EndpointBook) -> None:
     for state in book.by_id.values():
         state.note_report(busy=7, now=NOW)
-    assert isinstance(placement.choose(wanted(priority=2), SPEC, NOW), NoCapacity)
-    assert isinstance(placement.choose(wanted(priority=0), SPEC, NOW), Selection)
+    assert isinstance(placement.choose(request(priority=2), SPEC, NOW), NoCapacity)
+    assert isinstance(placement.choose(request(priority=0), SPEC, NOW), Selection)
 
 
-def test_draining_evacuated_and_foreign_endpoints_get_nothing(
+def test_draining_evacuated_and_disallowed_endpoints_get_no_requests(
     placement: Placement, book: EndpointBook
 ) -> None:
-    first = choose(placement)
+    first = chosen_id(placement)
     book.put(book.by_id[first].record._replace(draining=True), NOW)
-    assert choose(placement) != first
-    assert choose(placement, regions=frozenset(('izmir',))).startswith('i')
+    assert chosen_id(placement) != first
+    assert chosen_id(placement, regions=frozenset(('izmir',))).startswith('i')
     book.set_evacuated(frozenset(('a',)), warmup_s=3.0, now=NOW)
-    assert choose(placement).startswith('i')
+    assert chosen_id(placement).startswith('i')
 
 
-def test_a_zone_taken_back_counts_as_cold(book: EndpointBook) -> None:
-    """Symptom: endpoints crash just after an evacuation is taken back.
+def test_endpoints_are_cold_after_the_evacuation_of_their_zone_ends(book: EndpointBook) -> None:
+    """Endpoints must not get their full load right after an evacuation ends.
 
-    They lost their caches while the zone was empty, and no row said so.
+    They may have lost their caches while the zone was evacuated, without any row
+    that says so, and crashed under the load.
     """
     book.set_evacuated(frozenset(('a',)), warmup_s=3.0, now=NOW)
     book.set_evacuated(frozenset(), warmup_s=3.0, now=NOW + 8)
@@ -220,13 +226,13 @@
     assert max(shares) - min(shares) <= 1
 
 
-def test_on_a_large_fleet_a_cold_endpoints_own_region_may_send_to_it() -> None:
-    """Symptom: callers of a cold endpoint's region are sent elsewhere for
-    its whole warm-up, though it bears 21 requests a second.
+def test_in_a_large_fleet_instances_in_a_cold_endpoints_region_may_send_to_it() -> None:
+    """A cold endpoint must be usable by the callers of its own region.
 
-    With 60 instances its bound gives 17 of them one request a second. By
-    the ranks alone two thirds of those were in other regions, whose
-    callers hardly ask for it.
+    With 60 instances, a limit of 21 requests a second gives 17 of them one request
+    a second. Selected by rank alone, two thirds of these were in other regions,
+    whose callers hardly use the endpoint, and callers in its own region were sent
+    elsewhere during its whole warm-up.
     """
     regions = {f'e{number}': 'abc'[number % 3] for number in range(60)}
     shares = {
@@ -249,65 +255,65 @@
     sent = 0
     for step in range(100):
         now = NOW + step / 100
-        choice = placement.choose(wanted(), SPEC, now)
+        choice = placement.choose(request(), SPEC, now)
         if isinstance(choice, Selection):
             placement.note_sent(choice.endpoint, now)
             sent += 1
     assert 1 <= sent <= 2
 
 
-def test_failing_endpoints_are_left_out_and_come_back(
+def test_failing_endpoints_are_ejected_and_used_again_later(
     placement: Placement, book: EndpointBook
 ) -> None:
-    first = choose(placement)
+    first = chosen_id(placement)
     health = book.by_id[first].health
     while not health.note_failed(NOW):
-        assert choose(placement) == first
-    assert choose(placement) != first
+        assert chosen_id(placement) == first
+    assert chosen_id(placement) != first
     assert health.usable(NOW + 1.5)
 
 
-def test_an_endpoint_that_answers_nothing_is_left_out(
-    placement: Placement, book: EndpointBook
-) -> None:
-    """Symptom: requests wait out their whole time at one endpoint.
+def test_a_silent_endpoint_is_avoided(placement: Placement, book: EndpointBook) -> None:
+    """An endpoint that stops answering must be detected without any failure.
 
-    It fell silent with connections open: no failure is ever counted, since
-    none of its requests ends.
+    It became silent while its connections stayed open. None of its requests
+    ended, so no failure was counted, and requests waited there until they timed
+    out.
     """
-    first = choose(placement)
+    first = chosen_id(placement)
     book.by_id[first].health.note_sent(1, NOW - 2)
-    assert choose(placement) != first
+    assert chosen_id(placement) != first
     book.by_id[first].health.note_ended(1)
-    assert choose(placement) == first
+    assert chosen_id(placement) == first
 
 
-def test_repeats_stay_within_their_share_over_all_instances() -> None:
+def test_retries_of_all_instances_stay_within_the_allowance() -> None:
     budgets = [RetryBudget(window_s=10.0) for _ in range(12)]
     allowance = Allowance(ratio=0.2, extra=64.0, instances=12)
-    repeats = 0
+    retries = 0
     for step in range(1000):
         now = NOW + step / 100
         for budget in budgets:
             budget.note_request(now)
-            repeats += budget.take(now, allowance)
-    assert repeats <= 0.2 * 12000 + 64
+            retries += budget.take(now, allowance)
+    assert retries <= 0.2 * 12000 + 64
+
 
+def test_most_of_the_retry_allowance_can_be_used() -> None:
+    """The budget must not withhold retries that the allowance permits.
 
-def test_most_of_the_allowance_of_repeats_can_be_used() -> None:
-    """Symptom: all endpoints of a service shed half of what they get, and a
-    third of its callers is refused after one try, with the allowance of
-    repeats half used.
+    All endpoints of a service refused half of their requests. A third of its
+    callers was refused after one attempt, with half of the allowance unused.
     """
     budget = RetryBudget(window_s=10.0)
     allowance = Allowance(ratio=0.2, extra=0.0, instances=12)
     for step in range(1000):
         budget.note_request(NOW + step / 100)
-    repeats = sum(budget.take(NOW + 10, allowance) for _ in range(1000))
-    assert 0.8 * 200 <= repeats <= 200
+    retries = sum(budget.take(NOW + 10, allowance) for _ in range(1000))
+    assert 0.8 * 200 <= retries <= 200
 
 
-def test_a_split_holds_over_few_requests() -> None:
+def test_a_traffic_split_holds_over_few_requests() -> None:
     turns = SplitTurns()
     shares = (ServiceShare('new', 10.0), ServiceShare('old', 90.0))
     for count in (10, 50, 100):
@@ -315,59 +321,60 @@
         assert abs(chosen.count('new') - count / 10) <= 1
 
 
-def test_when_most_endpoints_fail_in_part_they_are_used_all_the_same(
+def test_partly_failing_endpoints_are_used_when_most_of_them_fail(
     placement: Placement, book: EndpointBook
 ) -> None:
-    """Symptom: every request refused, with endpoints that answer half.
+    """Ejection must not leave a service without any endpoint that still answers.
 
-    All endpoints of a service shed half of their requests. Each is
-    ejected for it, and nobody is left to send to.
+    All endpoints of a service refused half of their requests. All were ejected,
+    and every request was refused.
     """
     for state in book.by_id.values():
         while not state.health.note_failed(NOW):
             continue
-    assert isinstance(placement.choose(wanted(), SPEC, NOW), NoCapacity)
+    assert isinstance(placement.choose(request(), SPEC, NOW), NoCapacity)
     placement.update_ejections(NOW)
-    assert isinstance(placement.choose(wanted(), SPEC, NOW), Selection)
+    assert isinstance(placement.choose(request(), SPEC, NOW), Selection)
     for state in book.by_id.values():
         state.health.note_unreachable(NOW + 10)
     placement.update_ejections(NOW + 10)
-    assert isinstance(placement.choose(wanted(), SPEC, NOW + 10), NoCapacity)
+    assert isinstance(placement.choose(request(), SPEC, NOW + 10), NoCapacity)
 
 
 def test_a_request_is_not_queued_where_it_cannot_be_answered_in_time(
     book: EndpointBook, placement: Placement
 ) -> None:
-    """Symptom: callers wait to the end and learn nothing, while a slot works
-    on requests that nobody waits for any more.
+    """A request that would time out in a queue must be refused instead.
 
-    All endpoints are busy; the request has 0.5 s left, and whoever queues
-    at its endpoint is answered after 0.6 s. It was queued all the same.
+    All endpoints are busy. The request has 0.5 s left, but requests queued at its
+    endpoint are answered after 0.6 s. If it is queued, its caller waits until the
+    timeout without learning the outcome, and a slot works for nobody.
     """
     for state in book.by_id.values():
         state.note_report(busy=4, now=NOW)
     book.pace_of(SERVICE).note_answer(0.3)
-    assert isinstance(placement.choose(wanted(left_s=0.7), SPEC, NOW), Selection)
-    refused = placement.choose(wanted(left_s=0.5), SPEC, NOW)
+    assert isinstance(placement.choose(request(left_s=0.7), SPEC, NOW), Selection)
+    refused = placement.choose(request(left_s=0.5), SPEC, NOW)
     assert isinstance(refused, NoCapacity)
     assert refused.reason == 'no endpoint answers in time'
 
 
-def test_events_that_nobody_counts_are_not_kept() -> None:
-    """Symptom: an instance's memory grows with every request, for good.
+def test_expired_events_are_removed_even_if_never_counted() -> None:
+    """A window must not grow without bound.
 
-    Events left a window only when it was counted; the requests of a service
-    without repeats, and those after the spills of a start, never were.
+    Events expired only when the window was counted. The requests of a service
+    without retries, and those after the spillover of startup, were never counted,
+    so an instance's memory grew with every request.
     """
-    window = WindowCount(window_s=2.0)
+    window = SlidingWindowCounter(window_s=2.0)
     for number in range(1000):
         window.add(NOW + number)
     assert len(window) <= 2
 
 
-def test_an_endpoint_known_to_have_ended_gets_no_further_request(
+def test_an_endpoint_whose_process_has_ended_gets_no_more_requests(
     placement: Placement, book: EndpointBook
 ) -> None:
-    ended = choose(placement)
+    ended = chosen_id(placement)
     book.note_ended(book.by_id[ended].record.incarnation, NOW)
-    assert choose(placement) != ended
+    assert chosen_id(placement) != ended
