--- a/packages/node/src/plantainloft_node/limits/__init__.py
+++ b/packages/node/src/plantainloft_node/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Request limits of organisations, kept by all instances together."""
+"""Request limits of organisations, enforced jointly by all instances."""
--- a/packages/node/src/plantainloft_node/limits/listing.py
+++ b/packages/node/src/plantainloft_node/limits/listing.py
@@ -1,4 +1,4 @@
-"""Organisations as operators see them at one instance."""
+"""List of organisations for operators, as seen by one instance."""
 
 from collections.abc import Mapping
 from typing import TypedDict
@@ -10,11 +10,12 @@
 
 
 class ListedOrganisation(TypedDict):
-    """An organisation, and its use of its limit at this instance.
+    """An organisation and its use of its limit.
 
-    ``rate`` (requests a second) is 0 for no limit. ``share``, ``used`` and
-    ``wanted`` are of one window here, ``fleet_used`` and ``fleet_wanted`` of all
-    instances as last reported; ``refused`` counts since the start.
+    ``rate`` (requests a second) is 0 if there is no limit. ``share``, ``used`` and
+    ``wanted`` apply to one window at this instance, ``fleet_used`` and
+    ``fleet_wanted`` to all instances as last reported. ``refused`` counts since the
+    start of this instance.
     """
 
     name: str
@@ -33,7 +34,7 @@
 def list_organisations(
     organisations: OrganisationBook, usage_by_name: Mapping[str, Usage]
 ) -> list[ListedOrganisation]:
-    """Return all organisations by name."""
+    """Return all organisations, sorted by name."""
     return [
         _listed(organisation, usage_by_name.get(name))
         for name, organisation in sorted(organisations.by_name.items())
--- a/packages/node/src/plantainloft_node/limits/peer_uses.py
+++ b/packages/node/src/plantainloft_node/limits/peer_uses.py
@@ -1,4 +1,4 @@
-"""What the peers of a mesh report of organisations' use of their limits."""
+"""Reports from the peers of a mesh on organisations' use of their limits."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -7,8 +7,8 @@
 
 __all__ = ['PeerUses']
 
-# A peer of a dozen is heard twice in this time.
-HEARD_FOR_S = 2.0
+# In a mesh of twelve, each peer's report arrives twice in this time.
+REPORT_TTL_S = 2.0
 
 
 class _Report(NamedTuple):
@@ -23,22 +23,22 @@
         self._report_by_name: dict[str, _Report] = {}
 
     def put(self, name: str, use_by_number: Mapping[int, OrganisationUse], now: float) -> None:
-        """Take the report of ``name``."""
+        """Store the report of peer ``name``."""
         self._report_by_name[name] = _Report(use_by_number, now)
 
     def total(self, mine: Mapping[int, OrganisationUse], now: float) -> dict[int, OrganisationUse]:
-        """Add up ``mine`` and what peers reported a moment ago."""
-        reports = self._fresh(now).values()
+        """Return the sum of ``mine``, this instance's own use, and all unexpired reports."""
+        reports = self._unexpired(now).values()
         return add_up_uses((mine, *(report.use_by_number for report in reports)))
 
     def reached(self, now: float) -> int:
-        """Return how many instances report, this one included."""
-        return len(self._fresh(now)) + 1
+        """Return the number of reporting instances, including this one."""
+        return len(self._unexpired(now)) + 1
 
-    def _fresh(self, now: float) -> dict[str, _Report]:
+    def _unexpired(self, now: float) -> dict[str, _Report]:
         self._report_by_name = {
             name: report
             for name, report in self._report_by_name.items()
-            if now - report.at < HEARD_FOR_S
+            if now - report.at < REPORT_TTL_S
         }
         return self._report_by_name
--- a/packages/node/src/plantainloft_node/limits/uses.py
+++ b/packages/node/src/plantainloft_node/limits/uses.py
@@ -1,4 +1,4 @@
-"""What organisations' requests use of their limits, as instances report it."""
+"""Organisations' use of their request limits, as reported between instances."""
 
 import functools
 import struct
@@ -17,18 +17,18 @@
     'unpack_uses',
 ]
 
-# A report fits into one datagram with so many.
+# With at most this many, a report fits into one datagram.
 MAX_REPORTED_USES = 96
-KEPT_NUMBERS = 4096
-_USE = struct.Struct('<IHH')
+NUMBER_CACHE_SIZE = 4096
+_USE_FORMAT = struct.Struct('<IHH')
 _MAX_COUNT = 65535
 
 
 class OrganisationUse(NamedTuple):
     """Requests of an organisation in the last window.
 
-    ``used`` were let pass, ``wanted`` were asked for, those refused for the
-    limit included.
+    ``used`` counts the admitted requests, ``wanted`` all requests, including those
+    refused because of the limit.
     """
 
     used: int
@@ -38,14 +38,14 @@
 NO_USE = OrganisationUse(0, 0)
 
 
-@functools.lru_cache(maxsize=KEPT_NUMBERS)
+@functools.lru_cache(maxsize=NUMBER_CACHE_SIZE)
 def organisation_number(name: str) -> int:
-    """Return the 32-bit number that stands for an organisation in reports."""
+    """Return the 32-bit hash that identifies an organisation in reports."""
     return score('organisation', name)
 
 
 def add_up_uses(parts: Iterable[Mapping[int, OrganisationUse]]) -> dict[int, OrganisationUse]:
-    """Return the sum of ``parts``, each by organisation number."""
+    """Return the sum of ``parts`` by organisation number."""
     total: dict[int, OrganisationUse] = {}
     for use_by_number in parts:
         for number, use in use_by_number.items():
@@ -55,22 +55,23 @@
 
 
 def pack_uses(use_by_number: Mapping[int, OrganisationUse]) -> bytes:
-    """Return the bytes of the greatest of ``use_by_number``."""
+    """Encode the uses with the most requests, up to ``MAX_REPORTED_USES``."""
     if not use_by_number:
         return b''
-    greatest = sorted(use_by_number, key=lambda number: -use_by_number[number].wanted)
+    largest = sorted(use_by_number, key=lambda number: -use_by_number[number].wanted)
     return b''.join(
-        _USE.pack(number, *(min(_MAX_COUNT, count) for count in use_by_number[number]))
-        for number in greatest[:MAX_REPORTED_USES]
+        _USE_FORMAT.pack(number, *(min(_MAX_COUNT, count) for count in use_by_number[number]))
+        for number in largest[:MAX_REPORTED_USES]
     )
 
 
 def unpack_uses(packed: bytes) -> dict[int, OrganisationUse]:
-    """Return the uses in ``packed``; raises ``ValueError`` or ``struct.error``."""
+    """Decode uses; raise ``ValueError`` or ``struct.error`` if they are malformed."""
     if not packed:
         return {}
-    if len(packed) > MAX_REPORTED_USES * _USE.size:
-        raise ValueError('too many uses')
+    if len(packed) > MAX_REPORTED_USES * _USE_FORMAT.size:
+        raise ValueError(f'too many uses: {len(packed)} bytes, at most {MAX_REPORTED_USES} uses')
     return {
-        number: OrganisationUse(used, wanted) for number, used, wanted in _USE.iter_unpack(packed)
+        number: OrganisationUse(used, wanted)
+        for number, used, wanted in _USE_FORMAT.iter_unpack(packed)
     }
--- a/packages/node/src/plantainloft_node/placing/spilling.py
+++ b/packages/node/src/plantainloft_node/placing/spilling.py
@@ -59,6 +59,7 @@
             # first windows does not mean that the spillover has ended.
             self._is_finished = now - self._started_at > 2 * self._window_s
             return False
-        previous_share = previous_spilled / previous_requests
-        min_spilled = (previous_share - step) * (self._requests.count(now) + 1)
+        min_spilled = (previous_spilled / previous_requests - step) * (
+            self._requests.count(now) + 1
+        )
         return self._spilled.count(now) + 1 <= min_spilled
