--- a/packages/node/src/plantainloft_node/limits/limiter.py
+++ b/packages/node/src/plantainloft_node/limits/limiter.py
@@ -1,4 +1,4 @@
-"""Lets requests of organisations pass, up to their limits over all instances."""
+"""Admits requests of organisations up to their limits, which apply to all instances."""
 
 import math
 from collections import deque
@@ -9,10 +9,10 @@
 from plantainloft_core.organisations import Organisation, OrganisationBook, RequestLimit
 from plantainloft_node.limits.shares import (
     FleetSize,
+    LimitState,
     ShareRule,
     SharesByDemand,
-    Standing,
-    by_chance,
+    random_deviation,
     share_after_start,
 )
 from plantainloft_node.limits.uses import NO_USE, OrganisationUse, organisation_number
@@ -21,19 +21,20 @@
 
 __all__ = ['DEFAULT_TERMS', 'LimitTerms', 'OverLimit', 'RequestLimiter', 'Usage']
 
-# A report is known to all instances after at most so long; until then others
-# share out by the one before.
-REPORT_LAG_S = 3.0
-# Of what may pass beyond a limit, this part is shared out; the rest is for
-# requests let pass before others' reports have come.
-TOLERANCE_PART = 0.35
+# Longest time until a report is known to all instances; until then, others compute
+# shares from the previous one.
+MAX_REPORT_DELAY_S = 3.0
+# Fraction of the tolerance above a limit that is divided among instances. The rest
+# covers requests admitted before the reports of other instances arrive.
+TOLERANCE_FRACTION = 0.35
 MIN_RETRY_AFTER_S = 0.1
-# A demand that differs by so much from the least counted may be steady.
+# A demand within this many standard deviations of the lowest count may be constant.
 DEVIATIONS = 1.5
-# A shorter part of a window tells too little of the demand.
-MIN_REPORTED_PART = 0.2
-# An instance that has just started may let this part of its share pass.
-MIN_PART = 0.1
+# A shorter fraction of a window says too little about the demand.
+MIN_REPORTED_FRACTION = 0.2
+# Lower bound of the elapsed window fraction, so that an instance that has just
+# started can admit requests.
+MIN_START_FRACTION = 0.1
 DEFAULT_WINDOW_S = 5.0
 DEFAULT_OVER = 0.1
 DEFAULT_SLACK = 20.0
@@ -41,10 +42,10 @@
 
 
 class LimitTerms(NamedTuple):
-    """How limits are counted: in any ``window_s`` seconds, over all instances.
+    """Window and tolerance of limits, which apply to any ``window_s`` seconds.
 
-    ``over`` (a share) and ``slack`` (requests) are what may pass beyond a
-    limit, since instances know each other's counts a moment late.
+    Instances learn each other's counts with a delay, so a limit may be exceeded by
+    the fraction ``over`` of it plus ``slack`` requests.
     """
 
     window_s: float
@@ -52,9 +53,9 @@
     slack: float
 
     def allowance(self, limit: RequestLimit) -> float:
-        """Return the requests of a window that are shared out."""
+        """Return the number of requests per window that are divided among instances."""
         in_window = limit.in_window(self.window_s)
-        return in_window * (1 + self.over * TOLERANCE_PART) + self.slack * TOLERANCE_PART
+        return in_window * (1 + self.over * TOLERANCE_FRACTION) + self.slack * TOLERANCE_FRACTION
 
 
 DEFAULT_TERMS = LimitTerms(window_s=DEFAULT_WINDOW_S, over=DEFAULT_OVER, slack=DEFAULT_SLACK)
@@ -62,10 +63,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OverLimit:
-    """The request is beyond its organisation's limit and did not run.
+    """The request exceeds its organisation's limit and was not run.
 
-    ``share`` is what this instance may let pass in a window, ``used`` what it
-    has, ``fleet`` what all have reported.
+    ``share`` is the number of requests that this instance may admit in a window,
+    ``used`` the number that it has admitted, ``fleet`` the sum of all reports.
     """
 
     organisation: str
@@ -76,9 +77,10 @@
 
 
 class Usage(NamedTuple):
-    """An organisation's use as this instance sees it, for operators.
+    """An organisation's use of its limit as seen by this instance, for operators.
 
-    ``refused`` counts since the start of the instance, the others in a window.
+    ``refused`` counts since the start of the instance, the other counts cover one
+    window.
     """
 
     limit: RequestLimit
@@ -90,65 +92,65 @@
 
 
 class RequestLimiter:
-    """Counts each organisation's requests here and holds them to a share.
+    """Limits the requests of each organisation at this instance to its share.
 
-    Nothing here touches the network: ``update`` brings what others report,
-    ``uses`` returns what to report of this instance.
+    The limiter does no network I/O: ``update`` takes the reports of all instances,
+    ``uses`` returns this instance's own report.
     """
 
     def __init__(self, *, me: str, terms: LimitTerms, rule: ShareRule | None = None) -> None:
-        """``me`` names this instance; ``rule`` is by demand unless given."""
+        """``me`` is this instance's name; ``rule`` defaults to ``SharesByDemand``."""
         self.terms = terms
         self._me = me
         self._rule = rule or SharesByDemand()
         self._size = FleetSize(0, 0)
         self._started_at: float | None = None
         self._fleet_by_number: Mapping[int, OrganisationUse] = {}
-        self._tally_by_name: dict[str, _Tally] = {}
+        self._counters_by_name: dict[str, _Counters] = {}
 
     def admit(self, organisation: Organisation, now: float) -> OverLimit | None:
-        """Count one more request; return why it may not pass, if so."""
+        """Count a request; return ``None`` if it is admitted, else the reason."""
         if organisation.limit is None:
             return None
-        tally = self._tally(organisation.name)
-        tally.wanted.add(now)
-        share = self._share(organisation.name, organisation.limit, tally, now)
-        used = tally.used.count(now)
-        if used < self._rounded(share, organisation.name, now):
-            tally.used.add(now)
+        counters = self._counters_of(organisation.name)
+        counters.wanted.add(now)
+        share = self._share(organisation.name, organisation.limit, counters, now)
+        used = counters.used.count(now)
+        if used < self._rounded_at_random(share, organisation.name, now):
+            counters.used.add(now)
             return None
-        tally.refused += 1
+        counters.refused += 1
         return OverLimit(
             organisation=organisation.name,
             share=share,
             used=used,
             fleet=self._fleet(organisation.name),
-            retry_after_s=tally.next_room_s(share, now, self.terms.window_s),
+            retry_after_s=counters.retry_after_s(share, now, self.terms.window_s),
         )
 
     def release(self, organisation: Organisation) -> None:
-        """Take back the newest request let pass: it was not run."""
-        tally = self._tally_by_name.get(organisation.name)
-        if organisation.limit is not None and tally is not None:
-            tally.used.remove_newest()
+        """Uncount the newest admitted request, which was not run."""
+        counters = self._counters_by_name.get(organisation.name)
+        if organisation.limit is not None and counters is not None:
+            counters.used.remove_newest()
 
     def note_repeat(self, organisation: Organisation, now: float) -> None:
-        """Count a request that was sent to one more endpoint."""
+        """Count a retry: a request that was sent to another endpoint."""
         if organisation.limit is not None:
-            self._tally(organisation.name).used.add(now)
+            self._counters_of(organisation.name).used.add(now)
 
     def uses(self, now: float) -> dict[int, OrganisationUse]:
-        """Return what to report of this instance, by organisation number.
+        """Return this instance's report, by organisation number.
 
-        Counts since a start a moment ago stand for a whole window. Taken as they
-        are, the others would share out what this instance goes on asking for.
+        Shortly after a start, demand is extrapolated to a whole window. Otherwise the
+        other instances would divide among themselves what this one will need.
         """
-        part = max(MIN_REPORTED_PART, self._part_of_window(now))
+        fraction = max(MIN_REPORTED_FRACTION, self._window_fraction(now))
         use_by_number = {}
-        for name, tally in self._tally_by_name.items():
-            wanted = tally.wanted.count(now)
+        for name, counters in self._counters_by_name.items():
+            wanted = counters.wanted.count(now)
             if wanted:
-                use = OrganisationUse(tally.used.count(now), round(wanted / part))
+                use = OrganisationUse(counters.used.count(now), round(wanted / fraction))
                 use_by_number[organisation_number(name)] = use
         return use_by_number
 
@@ -160,25 +162,25 @@
         *,
         is_fresh: bool = True,
     ) -> None:
-        """Take what all instances report, this one included.
+        """Set the sum of the reports of all instances, including this one.
 
-        ``is_fresh``: it was reported a moment ago.
+        ``is_fresh``: the reports are recent.
         """
         if self._started_at is None:
             self._started_at = now
         self._fleet_by_number = fleet_by_number
         self._size = size
         if not is_fresh:
-            # Demand that grows here and is not reported is no reason for a
-            # larger share: it grows at the others too.
+            # Demand that grows here while reports are missing doesn't justify a
+            # larger share: it may be growing at the other instances as well.
             return
-        for tally in self._tally_by_name.values():
-            tally.note_wanted(now)
+        for counters in self._counters_by_name.values():
+            counters.sample_wanted(now)
 
     def keep_only(self, organisations: OrganisationBook) -> None:
-        """Forget the organisations that are no longer declared."""
-        for name in self._tally_by_name.keys() - organisations.by_name.keys():
-            self._tally_by_name.pop(name)
+        """Remove the counters of organisations that are no longer declared."""
+        for name in self._counters_by_name.keys() - organisations.by_name.keys():
+            self._counters_by_name.pop(name)
 
     def usage(self, organisations: OrganisationBook, now: float) -> dict[str, Usage]:
         """Return the use of each organisation that has a limit."""
@@ -186,38 +188,39 @@
         for name, organisation in organisations.by_name.items():
             if organisation.limit is None:
                 continue
-            tally = self._tally_by_name.get(name) or _Tally(window_s=self.terms.window_s)
+            counters = self._counters_by_name.get(name) or _Counters(window_s=self.terms.window_s)
             usage_by_name[name] = Usage(
                 limit=organisation.limit,
-                share=self._share(name, organisation.limit, tally, now),
-                used=tally.used.count(now),
-                wanted=tally.wanted.count(now),
-                refused=tally.refused,
+                share=self._share(name, organisation.limit, counters, now),
+                used=counters.used.count(now),
+                wanted=counters.wanted.count(now),
+                refused=counters.refused,
                 fleet=self._fleet(name),
             )
         return usage_by_name
 
-    def _share(self, name: str, limit: RequestLimit, tally: '_Tally', now: float) -> float:
-        standing = Standing(
+    def _share(self, name: str, limit: RequestLimit, counters: '_Counters', now: float) -> float:
+        state = LimitState(
             allowance=self.terms.allowance(limit),
-            wanted=tally.known_wanted(),
+            wanted=counters.reported_wanted(),
             fleet=self._fleet(name),
         )
-        share = self._rule.share(standing, self._size)
-        part = self._part_of_window(now)
-        return share if part >= 1 else share_after_start(share, part, standing)
+        share = self._rule.share(state, self._size)
+        fraction = self._window_fraction(now)
+        return share if fraction >= 1 else share_after_start(share, fraction, state)
 
-    def _part_of_window(self, now: float) -> float:
-        """Return the part (0..1) of a window since the start of this instance."""
+    def _window_fraction(self, now: float) -> float:
+        """Return the fraction (0..1) of a window since the start of this instance."""
         if self._started_at is None:
             return 1.0
-        return min(1.0, max(MIN_PART, (now - self._started_at) / self.terms.window_s))
+        return min(1.0, max(MIN_START_FRACTION, (now - self._started_at) / self.terms.window_s))
 
-    def _rounded(self, share: float, name: str, now: float) -> int:
-        """Return ``share`` in whole requests.
+    def _rounded_at_random(self, share: float, name: str, now: float) -> int:
+        """Round ``share`` to whole requests, up with the probability of its remainder.
 
-        Rounded down everywhere, what remains of many small shares would be
-        lost; so as many instances round up as the remainders come to.
+        If all instances rounded down, the remainders of many small shares would be
+        lost. This way, about as many instances round up as the remainders add up to.
+        The draw is a hash and stays the same during a window.
         """
         whole = math.floor(share)
         drawn = score(f'{self._me}/{name}', str(int(now / self.terms.window_s)))
@@ -226,12 +229,12 @@
     def _fleet(self, name: str) -> OrganisationUse:
         return self._fleet_by_number.get(organisation_number(name), NO_USE)
 
-    def _tally(self, name: str) -> '_Tally':
-        tally = self._tally_by_name.get(name)
-        if tally is None:
-            tally = _Tally(window_s=self.terms.window_s)
-            self._tally_by_name[name] = tally
-        return tally
+    def _counters_of(self, name: str) -> '_Counters':
+        counters = self._counters_by_name.get(name)
+        if counters is None:
+            counters = _Counters(window_s=self.terms.window_s)
+            self._counters_by_name[name] = counters
+        return counters
 
 
 class _Sample(NamedTuple):
@@ -239,43 +242,45 @@
     wanted: int
 
 
-class _Tally:
-    """The requests of one organisation at this instance."""
+class _Counters:
+    """Counts of one organisation's requests at this instance."""
 
     def __init__(self, *, window_s: float) -> None:
         self.used = SlidingWindowCounter(window_s=window_s)
         self.wanted = SlidingWindowCounter(window_s=window_s)
         self.refused = 0
         self._samples: deque[_Sample] = deque()
-        # Times at which room was promised to callers who were refused.
-        self._promised: deque[float] = deque()
+        # Times at which refused callers were told to retry.
+        self._retry_times: deque[float] = deque()
 
-    def note_wanted(self, now: float) -> None:
-        """Keep what was asked for until a report of it is known to all."""
+    def sample_wanted(self, now: float) -> None:
+        """Sample the demand; samples are kept until all instances know their report."""
         self._samples.append(_Sample(now, self.wanted.count(now)))
-        while len(self._samples) > 1 and self._samples[1].at <= now - REPORT_LAG_S:
+        while len(self._samples) > 1 and self._samples[1].at <= now - MAX_REPORT_DELAY_S:
             self._samples.popleft()
 
-    def known_wanted(self) -> float:
-        """Return what was asked for on average since what all others know.
+    def reported_wanted(self) -> float:
+        """Return the mean demand since the newest report that all instances know.
 
-        Taken from the newest counts, shares would add up to more than the
-        allowance while demand rises everywhere at once. So the average counts
-        only as far as the counts may differ by chance.
+        If shares were computed from the newest counts, they would add up to more than
+        the allowance while demand rises at all instances at once. The mean is
+        therefore limited to a random deviation above the lowest count.
         """
         if not self._samples:
             return 0.0
         counts = [sample.wanted for sample in self._samples]
-        least = min(counts)
-        return min(sum(counts) / len(counts), least + by_chance(least, deviations=DEVIATIONS) + 1)
-
-    def next_room_s(self, share: float, now: float, window_s: float) -> float:
-        """Return the seconds until there is room that nobody else was promised."""
-        while self._promised and self._promised[0] <= now:
-            self._promised.popleft()
-        ahead = len(self.used) - max(1, math.floor(share)) + len(self._promised)
-        leaving_at = self.used.time_of(ahead)
-        if leaving_at is None:
+        lowest = min(counts)
+        return min(
+            sum(counts) / len(counts), lowest + random_deviation(lowest, deviations=DEVIATIONS) + 1
+        )
+
+    def retry_after_s(self, share: float, now: float, window_s: float) -> float:
+        """Return the seconds until a request can be admitted that no other caller was told of."""
+        while self._retry_times and self._retry_times[0] <= now:
+            self._retry_times.popleft()
+        ahead = len(self.used) - max(1, math.floor(share)) + len(self._retry_times)
+        admitted_at = self.used.time_of(ahead)
+        if admitted_at is None:
             return window_s
-        self._promised.append(leaving_at + window_s)
-        return max(MIN_RETRY_AFTER_S, leaving_at + window_s - now)
+        self._retry_times.append(admitted_at + window_s)
+        return max(MIN_RETRY_AFTER_S, admitted_at + window_s - now)
--- a/packages/node/src/plantainloft_node/limits/shares.py
+++ b/packages/node/src/plantainloft_node/limits/shares.py
@@ -1,8 +1,9 @@
-"""How much of an organisation's limit one instance may use.
+"""Share of an organisation's limit that one instance may use.
 
-A pure decision, made anew for each request from what the instances last
-reported. The load that it answers: an organisation that sends more than its
-limit, through any number of instances, of which some may be cut off.
+Shares are computed for each request from the last reports of all instances, by
+pure functions. They must hold the limit of an organisation that sends more
+requests than it allows, through any number of instances, some of which may be
+partitioned from the others.
 """
 
 import math
@@ -14,45 +15,47 @@
 __all__ = [
     'EqualShares',
     'FleetSize',
+    'LimitState',
     'ShareRule',
     'SharesByDemand',
-    'Standing',
-    'by_chance',
+    'random_deviation',
     'share_after_start',
 ]
 
-# Part of an allowance that is shared out equally, whoever asks for how much.
-EQUAL_PART = 0.6
-# While callers leave this part of an allowance unasked, an instance may use its
-# whole headroom.
-SPARE_PART = 0.5
-# Requests in a window that an instance may let pass beyond its share. Where an
+# Fraction of an allowance that is divided equally among instances, regardless of
+# demand.
+EQUAL_FRACTION = 0.6
+# An instance may use its whole headroom while at least this fraction of the
+# allowance is not requested.
+SPARE_FRACTION = 0.5
+# Requests per window that an instance may admit beyond its share. If an
 # organisation sends a few requests through each of many instances, shares in
-# proportion would not hold even one.
+# proportion to demand would be less than one request.
 MAX_HEADROOM = 1.0
-# After a start, an instance's demand may be so far above the usual by chance.
+# Standard deviations by which the demand at an instance may exceed the usual one
+# after a start.
 START_DEVIATIONS = 1.5
-# Until the number of instances is known, it is taken to be so large.
-UNKNOWN_FLEET = 200
+# Assumed number of instances until it is known.
+ASSUMED_FLEET_SIZE = 200
 
 
 class FleetSize(NamedTuple):
-    """How many instances there are, this one included.
+    """Numbers of instances, including this one.
 
-    ``counted`` are all that may be running, zero as long as that is not
-    known; ``reached`` are those of them that report.
+    ``counted`` is the number of all that may be running, or zero while it is
+    unknown. ``reached`` is the number of those whose reports arrive.
     """
 
     counted: int
     reached: int
 
 
-class Standing(NamedTuple):
-    """An organisation's standing at one instance, counted in one window.
+class LimitState(NamedTuple):
+    """An organisation's allowance and demand in one window, as known to an instance.
 
-    ``allowance`` are the requests that all instances may let pass together,
-    ``wanted`` those asked for at this one, as far as its reports may be known
-    to all, ``fleet`` what all have reported.
+    ``allowance`` is the number of requests that all instances together may admit,
+    ``wanted`` the demand at this instance as far as its reports should have reached
+    all others, ``fleet`` the sum of all reports.
     """
 
     allowance: float
@@ -61,71 +64,78 @@
 
 
 class ShareRule(ABC):
-    """Shares out an allowance among instances."""
+    """Divides an allowance among instances."""
 
     @abstractmethod
-    def share(self, standing: Standing, size: FleetSize) -> float:
-        """Return the requests of a window that this instance may let pass."""
+    def share(self, state: LimitState, size: FleetSize) -> float:
+        """Return the number of requests per window that this instance may admit."""
 
 
 class EqualShares(ShareRule):
-    """The same to each instance: needs no reports, and wastes what is not asked."""
+    """Equal shares: need no reports, but what an instance does not use is lost."""
 
-    def share(self, standing: Standing, size: FleetSize) -> float:
-        """Return the allowance by the number of instances."""
-        return standing.allowance / size.counted if size.counted else 0.0
+    def share(self, state: LimitState, size: FleetSize) -> float:
+        """Return the allowance divided by the number of instances."""
+        return state.allowance / size.counted if size.counted else 0.0
 
 
 class SharesByDemand(ShareRule):
-    """By what is asked for at each instance; equal ones where that is unknown.
+    """Shares by the demand at each instance, or equal shares if it is unknown.
 
-    Who reaches at most half of the instances may be on the smaller side of a
-    cut, and takes an equal share; the other side leaves those shares alone.
+    An instance that hears from at most half of the instances may be in the smaller
+    part of a network partition and takes an equal share. Instances in the larger
+    part divide only what is left after the equal shares of the unreachable ones.
     """
 
-    def share(self, standing: Standing, size: FleetSize) -> float:
-        """Return this instance's part, and its headroom while there is room."""
+    def share(self, state: LimitState, size: FleetSize) -> float:
+        """Return the share by demand, plus headroom while the allowance is not used up."""
         if not size.counted:
-            return min(standing.allowance, max(1.0, standing.allowance / UNKNOWN_FLEET))
-        equal = standing.allowance / size.counted
+            return min(state.allowance, max(1.0, state.allowance / ASSUMED_FLEET_SIZE))
+        equal = state.allowance / size.counted
         if size.reached * 2 <= size.counted:
             return equal
-        reachable = standing.allowance * min(1.0, size.reached / size.counted)
-        basis = EQUAL_PART * standing.allowance
-        wanted_by_all = max(standing.fleet.wanted, standing.wanted)
-        part = (standing.wanted + basis / size.counted) / (wanted_by_all + basis)
-        share = reachable * part * _correction(standing) + _headroom(standing, equal)
-        return min(share, standing.allowance)
+        divided = state.allowance * min(1.0, size.reached / size.counted)
+        equal_part = EQUAL_FRACTION * state.allowance
+        total_wanted = max(state.fleet.wanted, state.wanted)
+        fraction = (state.wanted + equal_part / size.counted) / (total_wanted + equal_part)
+        share = divided * fraction * _correction(state) + _headroom(state, equal)
+        return min(share, state.allowance)
 
 
-def _correction(standing: Standing) -> float:
-    """Return the factor (0..1) that takes back what was let pass in excess."""
-    if standing.fleet.used <= standing.allowance:
+def _correction(state: LimitState) -> float:
+    """Return the factor (0..1) that offsets requests admitted beyond the allowance."""
+    if state.fleet.used <= state.allowance:
         return 1.0
-    return standing.allowance / standing.fleet.used
+    return state.allowance / state.fleet.used
 
 
-def share_after_start(share: float, part: float, standing: Standing) -> float:
-    """Return what of ``share`` may pass after ``part`` (0..1) of a window.
+def share_after_start(share: float, fraction: float, state: LimitState) -> float:
+    """Return the part of ``share`` that may be admitted early after a start.
 
-    What passed before a restart is forgotten and still counts, and most of it
-    may be as recent as the restart. A usual demand is well below that, but may
-    differ from instance to instance.
+    ``fraction`` (0..1) is the fraction of a window that has passed since then.
+    Requests admitted before a restart still count in the window although this
+    instance has forgotten them, and most of them may have been admitted just before
+    it. The usual demand is well below that, but varies between instances.
     """
-    spread = _room(standing) * by_chance(share * part, deviations=START_DEVIATIONS)
-    return min(share, share * part**2 + spread)
+    deviation = _spare_fraction(state) * random_deviation(
+        share * fraction, deviations=START_DEVIATIONS
+    )
+    return min(share, share * fraction**2 + deviation)
 
 
-def by_chance(count: float, *, deviations: float) -> float:
-    """Return so many standard deviations of a count of a steady demand."""
+def random_deviation(count: float, *, deviations: float) -> float:
+    """Return ``deviations`` standard deviations of a Poisson-distributed ``count``."""
     return deviations * math.sqrt(count)
 
 
-def _headroom(standing: Standing, equal: float) -> float:
-    return _room(standing) * min(MAX_HEADROOM, equal)
+def _headroom(state: LimitState, equal: float) -> float:
+    return _spare_fraction(state) * min(MAX_HEADROOM, equal)
 
 
-def _room(standing: Standing) -> float:
-    """Return how far (0..1) callers leave the allowance unasked."""
-    spare = standing.allowance - standing.fleet.wanted
-    return min(1.0, max(0.0, spare / (SPARE_PART * standing.allowance)))
+def _spare_fraction(state: LimitState) -> float:
+    """Return how much of the allowance is not requested, relative to SPARE_FRACTION.
+
+    The result is limited to 0..1.
+    """
+    spare = state.allowance - state.fleet.wanted
+    return min(1.0, max(0.0, spare / (SPARE_FRACTION * state.allowance)))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of organisations: one instance's decisions, and a fleet's sum in virtual time."""
+"""Limits of organisations at one instance, and over a fleet simulated in virtual time."""
 
 import pytest
 from hypothesis import given, settings
@@ -8,7 +8,7 @@
 from plantainloft_node.fleet.demand import fleet_size
 from plantainloft_node.fleet.ranking import relays_in
 from plantainloft_node.limits.limiter import DEFAULT_TERMS, LimitTerms, RequestLimiter
-from plantainloft_node.limits.shares import EqualShares, FleetSize, SharesByDemand, Standing
+from plantainloft_node.limits.shares import EqualShares, FleetSize, LimitState, SharesByDemand
 from plantainloft_node.limits.uses import (
     MAX_REPORTED_USES,
     OrganisationUse,
@@ -20,113 +20,115 @@
 from plantainloft_standins.limit_model import CallerFlow, LimitPlay, model_organisation
 
 EXACT = LimitTerms(window_s=5.0, over=0.0, slack=0.0)
-TEN_A_WINDOW = Organisation('desk', frozenset(), limit=RequestLimit(1.0, 5.0))
-TWELVE = FleetShape(instances=2)
-SIXTY = FleetShape(instances=10)
-# Usual demand is this part of a limit.
-USUAL_PART = 0.625
+TEN_PER_WINDOW = Organisation('desk', frozenset(), limit=RequestLimit(1.0, 5.0))
+TWELVE_INSTANCES = FleetShape(instances=2)
+SIXTY_INSTANCES = FleetShape(instances=10)
+# Usual demand as a fraction of the limit.
+USUAL_FRACTION = 0.625
 LARGE = model_organisation('large', rate=212, burst=212)
 MEDIUM = model_organisation('medium', rate=34, burst=34)
 SMALL = model_organisation('small', rate=8, burst=8)
 
 
-def alone() -> RequestLimiter:
+def single_limiter() -> RequestLimiter:
     limiter = RequestLimiter(me='e1', terms=EXACT)
     limiter.update({}, FleetSize(1, 1), -EXACT.window_s)
     return limiter
 
 
-def admitted(limiter: RequestLimiter, count: int, now: float) -> int:
-    return sum(limiter.admit(TEN_A_WINDOW, now) is None for _ in range(count))
+def count_admitted(limiter: RequestLimiter, count: int, now: float) -> int:
+    return sum(limiter.admit(TEN_PER_WINDOW, now) is None for _ in range(count))
 
 
-def test_an_instance_alone_lets_the_whole_limit_pass_and_no_more() -> None:
-    limiter = alone()
-    assert admitted(limiter, 30, 1.0) == 10
-    assert admitted(limiter, 30, 5.9) == 0
-    assert admitted(limiter, 30, 6.1) == 10
+def test_a_single_instance_admits_exactly_the_whole_limit() -> None:
+    limiter = single_limiter()
+    assert count_admitted(limiter, 30, 1.0) == 10
+    assert count_admitted(limiter, 30, 5.9) == 0
+    assert count_admitted(limiter, 30, 6.1) == 10
 
 
-def test_a_request_that_was_not_run_is_given_back() -> None:
-    limiter = alone()
-    assert admitted(limiter, 10, 1.0) == 10
-    limiter.release(TEN_A_WINDOW)
-    assert admitted(limiter, 5, 1.1) == 1
+def test_a_request_that_was_not_run_does_not_count() -> None:
+    limiter = single_limiter()
+    assert count_admitted(limiter, 10, 1.0) == 10
+    limiter.release(TEN_PER_WINDOW)
+    assert count_admitted(limiter, 5, 1.1) == 1
 
 
-def test_a_repeat_to_another_endpoint_counts_against_the_limit() -> None:
-    limiter = alone()
-    assert admitted(limiter, 4, 1.0) == 4
-    limiter.note_repeat(TEN_A_WINDOW, 1.1)
-    assert admitted(limiter, 30, 1.2) == 5
+def test_a_retry_on_another_endpoint_counts_against_the_limit() -> None:
+    limiter = single_limiter()
+    assert count_admitted(limiter, 4, 1.0) == 4
+    limiter.note_repeat(TEN_PER_WINDOW, 1.1)
+    assert count_admitted(limiter, 30, 1.2) == 5
 
 
-def test_refused_callers_are_told_moments_at_which_they_pass() -> None:
-    limiter = alone()
+def test_refused_callers_are_told_when_they_will_be_admitted() -> None:
+    limiter = single_limiter()
     for number in range(10):
-        limiter.admit(TEN_A_WINDOW, 1.0 + number / 10)
-    refusals = [limiter.admit(TEN_A_WINDOW, 2.0) for _ in range(3)]
-    moments = [2.0 + over.retry_after_s for over in refusals if over is not None]
-    assert moments == pytest.approx([6.0, 6.1, 6.2])
-    for moment in moments:
-        assert limiter.admit(TEN_A_WINDOW, moment + 0.001) is None
-
-
-def test_a_lowered_limit_binds_at_once() -> None:
-    limiter = alone()
-    assert admitted(limiter, 8, 1.0) == 8
-    lowered = TEN_A_WINDOW._replace(limit=RequestLimit(0.4, 1.0))
+        limiter.admit(TEN_PER_WINDOW, 1.0 + number / 10)
+    refusals = [limiter.admit(TEN_PER_WINDOW, 2.0) for _ in range(3)]
+    retry_times = [2.0 + refusal.retry_after_s for refusal in refusals if refusal is not None]
+    assert retry_times == pytest.approx([6.0, 6.1, 6.2])
+    for retry_at in retry_times:
+        assert limiter.admit(TEN_PER_WINDOW, retry_at + 0.001) is None
+
+
+def test_a_lowered_limit_applies_at_once() -> None:
+    limiter = single_limiter()
+    assert count_admitted(limiter, 8, 1.0) == 8
+    lowered = TEN_PER_WINDOW._replace(limit=RequestLimit(0.4, 1.0))
     assert limiter.admit(lowered, 1.1) is not None
     assert sum(limiter.admit(lowered, 6.1) is None for _ in range(9)) == 3
 
 
-def test_a_restarted_instance_lets_pass_by_the_time_since_its_start() -> None:
-    """Each restart would let a whole share pass anew."""
+def test_a_restarted_instance_admits_requests_by_the_time_since_its_start() -> None:
+    """An instance must not admit its whole share again after each restart."""
     limiter = RequestLimiter(me='e1', terms=EXACT)
     limiter.update({}, FleetSize(1, 1), 0.0)
     hot = {organisation_number('desk'): OrganisationUse(0, 30)}
     limiter.update(hot, FleetSize(1, 1), 1.0)
-    assert admitted(limiter, 30, 1.25) in (1, 2)
-    assert admitted(limiter, 30, 2.6) <= 3
+    assert count_admitted(limiter, 30, 1.25) in (1, 2)
+    assert count_admitted(limiter, 30, 2.6) <= 3
 
 
-def test_an_organisation_is_hardly_refused_after_all_instances_restart() -> None:
-    play = play_of(flow_of(LARGE), flow_of(MEDIUM), flow_of(SMALL))
-    play.run_for(5)
-    for name in play.model.running():
-        play.model.start(name)
-    play.run_for(5)
-    refused = sum(play.refused(name, after_s=5.0) for name in ('large', 'medium', 'small'))
-    passed = sum(play.passed(name, after_s=5.0) for name in ('large', 'medium', 'small'))
-    assert refused < passed / 9
+def test_few_requests_are_refused_after_all_instances_restart() -> None:
+    simulation = simulation_of(usual_flow(LARGE), usual_flow(MEDIUM), usual_flow(SMALL))
+    simulation.run_for(5)
+    for name in simulation.model.running():
+        simulation.model.start(name)
+    simulation.run_for(5)
+    refused = sum(simulation.refused(name, after_s=5.0) for name in ('large', 'medium', 'small'))
+    total_admitted = sum(
+        simulation.passed(name, after_s=5.0) for name in ('large', 'medium', 'small')
+    )
+    assert refused < total_admitted / 9
 
 
 def test_a_hot_organisation_stays_within_its_limit_when_all_restart_at_once() -> None:
-    """They are back after a second, knowing nothing of what passed before."""
-    play = play_of(flow_of(LARGE, times=4.0))
-    play.run_for(6)
-    names = play.model.running()
+    """All instances start again after a second and have forgotten what they admitted."""
+    simulation = simulation_of(usual_flow(LARGE, times=4.0))
+    simulation.run_for(6)
+    names = simulation.model.running()
     for name in names:
-        play.model.instance_by_name[name].runs = False
-    play.run_for(1)
+        simulation.model.instance_by_name[name].runs = False
+    simulation.run_for(1)
     for name in names:
-        play.model.start(name)
-    play.run_for(6)
-    assert play.most_in_window('large', DEFAULT_TERMS.window_s) <= bound(LARGE)
+        simulation.model.start(name)
+    simulation.run_for(6)
+    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
 
 
-def test_before_the_fleet_is_known_an_instance_lets_one_request_pass() -> None:
-    assert admitted(RequestLimiter(me='e1', terms=EXACT), 30, 1.0) == 1
+def test_before_the_fleet_size_is_known_an_instance_admits_one_request() -> None:
+    assert count_admitted(RequestLimiter(me='e1', terms=EXACT), 30, 1.0) == 1
 
 
-def test_an_organisation_that_is_no_longer_declared_is_forgotten() -> None:
-    limiter = alone()
-    admitted(limiter, 3, 1.0)
+def test_counters_of_an_organisation_that_is_no_longer_declared_are_removed() -> None:
+    limiter = single_limiter()
+    count_admitted(limiter, 3, 1.0)
     limiter.keep_only(build_organisations([]))
     assert limiter.uses(1.0) == {}
 
 
-def test_uses_survive_a_report_and_the_greatest_go_first() -> None:
+def test_uses_round_trip_through_a_report_largest_first() -> None:
     uses = {number: OrganisationUse(number, number + 1) for number in range(200)}
     unpacked = unpack_uses(pack_uses(uses))
     assert len(unpacked) == MAX_REPORTED_USES
@@ -140,128 +142,148 @@
     allowance=st.floats(5.0, 5000.0),
     silent=st.integers(0, 60),
 )
-def test_shares_of_instances_that_agree_add_up_to_the_allowance_and_headroom(
+def test_shares_add_up_to_at_most_the_allowance_and_headroom(
     wanted: list[int], allowance: float, silent: int
 ) -> None:
-    """Silent instances hold equal shares; those that reach most hold the rest."""
+    """Unreachable instances hold equal shares, the others divide the remainder.
+
+    All reachable instances have the same reports.
+    """
     size = FleetSize(len(wanted) + silent, len(wanted))
     fleet = OrganisationUse(sum(wanted), sum(wanted))
-    shares = [SharesByDemand().share(Standing(allowance, one, fleet), size) for one in wanted]
+    shares = [SharesByDemand().share(LimitState(allowance, count, fleet), size) for count in wanted]
     held_by_silent = silent * allowance / size.counted
     headroom = 0.0 if fleet.wanted >= allowance else len(wanted)
     assert sum(shares) + held_by_silent <= allowance + headroom + 0.001
 
 
-def flow_of(organisation: Organisation, **terms: float) -> CallerFlow:
-    """The usual demand of an organisation, or ``times`` as much."""
+def usual_flow(organisation: Organisation, **options: float) -> CallerFlow:
+    """Return the usual demand of an organisation, multiplied by ``times``."""
     assert organisation.limit is not None
-    times = terms.pop('times', 1.0)
-    return CallerFlow(organisation, organisation.limit.rate * USUAL_PART * times, **terms)  # type: ignore[arg-type]
+    times = options.pop('times', 1.0)
+    return CallerFlow(organisation, organisation.limit.rate * USUAL_FRACTION * times, **options)  # type: ignore[arg-type]
 
 
-def bound(organisation: Organisation) -> float:
-    """What the users allow in a window, over all instances."""
+def max_in_window(organisation: Organisation) -> float:
+    """Return the most requests that all instances may admit in a window, with tolerance."""
     assert organisation.limit is not None
-    within = organisation.limit.in_window(DEFAULT_TERMS.window_s)
-    return within * (1 + DEFAULT_TERMS.over) + DEFAULT_TERMS.slack
+    limit = organisation.limit.in_window(DEFAULT_TERMS.window_s)
+    return limit * (1 + DEFAULT_TERMS.over) + DEFAULT_TERMS.slack
 
 
-def play_of(
-    *flows: CallerFlow, shape: FleetShape = SIXTY, seed: int = 1, **terms: object
+def simulation_of(
+    *flows: CallerFlow, shape: FleetShape = SIXTY_INSTANCES, seed: int = 1, **options: object
 ) -> LimitPlay:
-    model = FleetModel(shape=shape._replace(seed=seed), **terms)  # type: ignore[arg-type]
+    model = FleetModel(shape=shape._replace(seed=seed), **options)  # type: ignore[arg-type]
     return LimitPlay(model=model, flows=flows, seed=seed)
 
 
-def test_usual_demand_is_hardly_refused_at_sixty_instances() -> None:
-    flows = [flow_of(one) for one in (LARGE, MEDIUM, SMALL)]
-    by_demand = play_of(*flows)
-    equally = play_of(*flows, share_rule=EqualShares)
-    for play in (by_demand, equally):
-        play.run_for(15)
-    wanted = sum(by_demand.passed(one.organisation.name) for one in flows)
+def test_little_of_usual_demand_is_refused_at_sixty_instances() -> None:
+    flows = [usual_flow(organisation) for organisation in (LARGE, MEDIUM, SMALL)]
+    by_demand = simulation_of(*flows)
+    by_equal_shares = simulation_of(*flows, share_rule=EqualShares)
+    for simulation in (by_demand, by_equal_shares):
+        simulation.run_for(15)
+    wanted = sum(by_demand.passed(flow.organisation.name) for flow in flows)
     assert sum(by_demand.refused_by_organisation().values()) < wanted / 100
-    assert sum(equally.refused_by_organisation().values()) > wanted / 100
+    assert sum(by_equal_shares.refused_by_organisation().values()) > wanted / 100
 
 
-@pytest.mark.parametrize('organisation', [LARGE, MEDIUM, SMALL], ids=lambda one: one.name)
-def test_an_organisation_that_grows_hot_stays_within_its_limit(organisation: Organisation) -> None:
+@pytest.mark.parametrize(
+    'organisation', [LARGE, MEDIUM, SMALL], ids=lambda organisation: organisation.name
+)
+def test_an_organisation_with_a_sudden_peak_stays_within_its_limit(
+    organisation: Organisation,
+) -> None:
     name = organisation.name
-    play = play_of(flow_of(organisation), flow_of(organisation, times=5.5, begins_s=4.0))
-    play.run_for(14)
-    assert play.most_in_window(name, DEFAULT_TERMS.window_s) <= bound(organisation)
+    simulation = simulation_of(
+        usual_flow(organisation), usual_flow(organisation, times=5.5, begins_s=4.0)
+    )
+    simulation.run_for(14)
+    assert simulation.most_in_window(name, DEFAULT_TERMS.window_s) <= max_in_window(organisation)
     assert organisation.limit is not None
-    assert play.passed(name, after_s=6.0) >= 0.9 * 8.0 * organisation.limit.rate
+    assert simulation.passed(name, after_s=6.0) >= 0.9 * 8.0 * organisation.limit.rate
 
 
-def test_a_hot_organisation_at_one_instance_gets_nearly_its_whole_limit() -> None:
+def test_a_hot_organisation_at_one_instance_gets_almost_its_whole_limit() -> None:
     hot = CallerFlow(LARGE, 600.0, instances=('r0-z0-3',))
-    play = play_of(hot)
-    play.run_for(20)
-    assert play.most_in_window('large', DEFAULT_TERMS.window_s) <= bound(LARGE)
+    simulation = simulation_of(hot)
+    simulation.run_for(20)
+    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
     assert LARGE.limit is not None
-    assert play.passed('large', after_s=6.0) >= 0.9 * 14.0 * LARGE.limit.rate
+    assert simulation.passed('large', after_s=6.0) >= 0.9 * 14.0 * LARGE.limit.rate
 
 
 def test_a_hot_organisation_that_moves_between_instances_stays_within_its_limit() -> None:
     moves = [
-        CallerFlow(LARGE, 600.0, begins_s=begins, ends_s=begins + 6.0, instances=(name,))
-        for begins, name in ((0.0, 'r0-z0-3'), (6.0, 'r1-z0-3'), (12.0, 'r2-z1-9'))
+        CallerFlow(LARGE, 600.0, begins_s=begins_s, ends_s=begins_s + 6.0, instances=(name,))
+        for begins_s, name in ((0.0, 'r0-z0-3'), (6.0, 'r1-z0-3'), (12.0, 'r2-z1-9'))
     ]
-    play = play_of(*moves)
-    play.run_for(18)
-    assert play.most_in_window('large', DEFAULT_TERMS.window_s) <= bound(LARGE)
+    simulation = simulation_of(*moves)
+    simulation.run_for(18)
+    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
 
 
 @pytest.mark.parametrize('seed', range(3))
-def test_a_hot_organisation_stays_within_its_limit_while_a_third_is_cut_off(seed: int) -> None:
-    play = play_of(flow_of(LARGE), flow_of(LARGE, times=6.5, begins_s=3.0), seed=seed)
-    cut_off = set(play.model.running()[::3])
-    play.run_for(3)
-    play.model.passes = lambda one, other: one.name not in cut_off and other.name not in cut_off
-    play.run_for(14)
-    assert play.most_in_window('large', DEFAULT_TERMS.window_s) <= bound(LARGE)
+def test_a_hot_organisation_stays_within_its_limit_while_a_third_of_the_instances_is_isolated(
+    seed: int,
+) -> None:
+    simulation = simulation_of(
+        usual_flow(LARGE), usual_flow(LARGE, times=6.5, begins_s=3.0), seed=seed
+    )
+    isolated = set(simulation.model.running()[::3])
+    simulation.run_for(3)
+    simulation.model.passes = lambda one, other: (
+        one.name not in isolated and other.name not in isolated
+    )
+    simulation.run_for(14)
+    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
 
 
 @pytest.mark.parametrize('seed', range(3))
 def test_a_hot_organisation_stays_within_its_limit_while_instances_restart(seed: int) -> None:
-    play = play_of(flow_of(LARGE), flow_of(LARGE, times=5.5), seed=seed)
-    names = play.model.running()
+    simulation = simulation_of(usual_flow(LARGE), usual_flow(LARGE, times=5.5), seed=seed)
+    names = simulation.model.running()
     for turn, name in enumerate(names[seed::2]):
-        play.model.after(2.0 + turn * 0.2, lambda name=name: play.model.start(name))
-    play.run_for(12)
-    assert play.most_in_window('large', DEFAULT_TERMS.window_s) <= bound(LARGE)
+        simulation.model.after(2.0 + turn * 0.2, lambda name=name: simulation.model.start(name))
+    simulation.run_for(12)
+    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
 
 
 def test_a_hot_organisation_stays_within_its_limit_while_all_relays_are_lost() -> None:
-    assert max(most_while_relays_are_lost(seed) for seed in (0, 1)) <= bound(LARGE)
+    assert max(max_admitted_while_relays_are_lost(seed) for seed in (0, 1)) <= max_in_window(LARGE)
+
 
+def max_admitted_while_relays_are_lost(seed: int) -> int:
+    """Return the most requests admitted in a window.
 
-def most_while_relays_are_lost(seed: int) -> int:
-    """The most of a window; the relays end two seconds after demand grew fivefold."""
-    play = play_of(flow_of(LARGE), flow_of(LARGE, times=4.0, begins_s=2.0), seed=seed)
-    play.run_for(4)
-    model = play.model
+    All relays stop two seconds after demand has grown fivefold.
+    """
+    simulation = simulation_of(
+        usual_flow(LARGE), usual_flow(LARGE, times=4.0, begins_s=2.0), seed=seed
+    )
+    simulation.run_for(4)
+    model = simulation.model
     for instance in list(model.instance_by_name.values()):
         zone = instance.members.known.by_zone()[instance.members.me.zone]
         if instance.members.me in relays_in(zone, instance.members, model.now):
             instance.runs = False
     assert len(model.running()) == 48
-    play.run_for(10)
-    return play.most_in_window('large', DEFAULT_TERMS.window_s)
+    simulation.run_for(10)
+    return simulation.most_in_window('large', DEFAULT_TERMS.window_s)
 
 
-def test_an_instance_that_hears_nobody_takes_an_equal_share_within_two_seconds() -> None:
-    play = play_of(flow_of(LARGE), shape=TWELVE)
-    lonely = play.model.instance_by_name['r0-z0-0']
-    play.model.passes = lambda one, other: 'r0-z0-0' not in (one.name, other.name)
-    play.run_for(2.0)
-    assert fleet_size(lonely.members, play.model.now).reached == 1
-    usage = lonely.limiter.usage(build_organisations([LARGE]), play.model.now)['large']
+def test_an_isolated_instance_takes_an_equal_share_within_two_seconds() -> None:
+    simulation = simulation_of(usual_flow(LARGE), shape=TWELVE_INSTANCES)
+    isolated = simulation.model.instance_by_name['r0-z0-0']
+    simulation.model.passes = lambda one, other: 'r0-z0-0' not in (one.name, other.name)
+    simulation.run_for(2.0)
+    assert fleet_size(isolated.members, simulation.model.now).reached == 1
+    usage = isolated.limiter.usage(build_organisations([LARGE]), simulation.model.now)['large']
     assert usage.share == pytest.approx(DEFAULT_TERMS.allowance(usage.limit) / 12)
 
 
-STEPS = st.lists(
+FAULT_SEQUENCES = st.lists(
     st.tuples(
         st.sampled_from(('cut', 'heal', 'restart', 'stop', 'wake')),
         st.integers(0, 11),
@@ -272,45 +294,47 @@
 
 
 @settings(max_examples=25)
-@given(steps=STEPS, seed=st.integers(0, 1000))
-def test_no_sequence_of_cuts_restarts_and_pauses_lets_the_sum_pass_the_limit(
+@given(steps=FAULT_SEQUENCES, seed=st.integers(0, 1000))
+def test_no_sequence_of_partitions_restarts_and_pauses_lets_an_organisation_exceed_its_limit(
     steps: list[tuple[str, int, float]], seed: int
 ) -> None:
-    """Twelve instances, an organisation at five times its usual demand."""
-    play = play_of(flow_of(LARGE, times=5.0), shape=TWELVE, seed=seed)
-    names = play.model.running()
-    cut_off: set[str] = set()
-    play.model.passes = lambda one, other: (one.name in cut_off) == (other.name in cut_off)
-    for act, number, wait_s in steps:
-        _make_trouble(play.model, act, names[number], cut_off)
-        play.run_for(wait_s)
-    play.run_for(4.0)
-    assert play.most_in_window('large', DEFAULT_TERMS.window_s) <= bound(LARGE)
-
-
-def _make_trouble(model: FleetModel, act: str, name: str, cut_off: set[str]) -> None:
-    if act == 'cut':
-        cut_off.add(name)
-    elif act == 'heal':
-        cut_off.discard(name)
-    elif act == 'restart':
+    """Runs twelve instances with an organisation at five times its usual demand."""
+    simulation = simulation_of(usual_flow(LARGE, times=5.0), shape=TWELVE_INSTANCES, seed=seed)
+    names = simulation.model.running()
+    partition: set[str] = set()
+    simulation.model.passes = lambda one, other: (
+        (one.name in partition) == (other.name in partition)
+    )
+    for fault, number, wait_s in steps:
+        _inject_fault(simulation.model, fault, names[number], partition)
+        simulation.run_for(wait_s)
+    simulation.run_for(4.0)
+    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
+
+
+def _inject_fault(model: FleetModel, fault: str, name: str, partition: set[str]) -> None:
+    if fault == 'cut':
+        partition.add(name)
+    elif fault == 'heal':
+        partition.discard(name)
+    elif fault == 'restart':
         model.start(name)
-    elif act == 'stop':
+    elif fault == 'stop':
         model.instance_by_name[name].runs = False
     elif not model.instance_by_name[name].runs:
         model.wake(name)
 
 
-def test_reports_of_limits_fit_one_packet() -> None:
+def test_reports_of_uses_fit_into_one_packet() -> None:
     flows = [
         CallerFlow(model_organisation(f'o{number}', rate=20, burst=20), 10.0)
         for number in range(73)
     ]
     sizes: list[int] = []
-    play = play_of(*flows)
-    model = play.model
+    simulation = simulation_of(*flows)
+    model = simulation.model
     for _ in range(10):
-        play.run_for(0.5)
+        simulation.run_for(0.5)
         for instance in model.instance_by_name.values():
             messages = instance.relaying.round(model.now, to_all=True)
             sizes += [len(message.packed) for message in messages]
