--- a/packages/node/src/plantainloft_node/engine/__init__.py
+++ b/packages/node/src/plantainloft_node/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The forwarding engine: callers' connections, endpoints' connections."""
+"""The HTTP forwarding engine: connections of callers and to endpoints, and retries."""
--- a/packages/node/src/plantainloft_node/engine/attempts.py
+++ b/packages/node/src/plantainloft_node/engine/attempts.py
@@ -1,37 +1,37 @@
-"""One request's tries: what was sent where, and what may be said of it."""
+"""The attempts made for one request: where it was sent, and what each attempt proves."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from plantainloft_node.engine.endpoint_link import AnswerHead, EndpointLink
+from plantainloft_node.engine.endpoint_link import ResponseHead, UpstreamConnection
 from plantainloft_node.quarantine.crash_checks import EndpointRun
 
 __all__ = [
     'Answered',
+    'AttemptOutcome',
     'Attempts',
     'Failed',
     'NotRun',
     'NotSent',
-    'Placed',
+    'PlacementDetails',
     'Refusal',
     'RequestContext',
-    'TryOutcome',
 ]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Answered:
-    """The endpoint's answer: its head and the first part of its body.
+    """The endpoint's response: its head and the first part of its body.
 
-    ``rest`` is the connection that the rest of the body is still to be
-    read from; ``None`` when ``body`` is whole.
+    ``body_source`` is the connection from which the rest of the body is still to
+    be read; ``None`` when ``body`` is complete.
     """
 
     endpoint_id: str
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
-    rest: EndpointLink | None
+    body_source: UpstreamConnection | None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotRun:
-    """The endpoint said itself that it did not run the request.
+    """The endpoint itself reported that it did not run the request.
 
-    ``misdirected``: another incarnation has the address by now.
+    ``misdirected``: another incarnation is now listening at the address.
     """
 
     reason: str
@@ -54,32 +54,33 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Failed:
-    """The request may have run; no whole answer came of it.
+    """The request may have run, but no complete response was received.
 
-    ``broke``: its connection to the endpoint ended before the answer did.
+    ``broke``: the connection to the endpoint ended before the response did.
     """
 
     reason: str
     broke: bool = False
 
 
-TryOutcome = Answered | NotSent | NotRun | Failed
+AttemptOutcome = Answered | NotSent | NotRun | Failed
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refusal:
-    """The request did not run and will not; come back later."""
+    """The request did not run and will not; the caller may retry later."""
 
     reason: str
     retry_after_s: float
 
 
-class Placed(NamedTuple):
-    """Where the newest try went, and what was believed of that endpoint.
+class PlacementDetails(NamedTuple):
+    """Where the latest attempt went, and this instance's view of that endpoint.
 
-    ``load`` are the requests thought to be there, ``rank`` is 0 for the
-    key's first choice, ``remembered`` whether the endpoint worked on the
-    object lately, ``after_s`` the time from reading to sending.
+    ``load`` is the estimated number of requests at the endpoint, ``rank`` is 0 for
+    the first choice of the affinity key, ``served_key_recently`` tells whether the
+    endpoint recently served that key, and ``delay_s`` is the time from receiving
+    the request to sending it.
     """
 
     endpoint_id: str
@@ -89,59 +90,62 @@
     load: float
     rank: int
     cold: bool
-    remembered: bool
-    after_s: float
+    served_key_recently: bool
+    delay_s: float
 
 
 class RequestContext(NamedTuple):
-    """What a request is decided by, from start to end.
+    """The inputs that decide about a request, fixed from start to end.
 
-    ``key`` tells its object, ``version`` is that of the configuration,
-    ``organisation`` the name of its caller's, empty where none is asked.
+    ``affinity_key`` identifies the object that the request is about, ``version``
+    is that of the configuration, and ``organisation`` is the name of the caller's
+    organisation, empty where none is required.
     """
 
-    key: str
+    affinity_key: str
     version: int
     organisation: str = ''
 
 
 class Attempts:
-    """Keeps which endpoints a request went to, and how that ended."""
+    """Records which endpoints a request was sent to, and how each attempt ended."""
 
     def __init__(self, *, context: RequestContext) -> None:
         self.context = context
-        self.tried: set[str] = set()
-        self.sent = 0
-        self.unsent = 0
-        self.misdirected = 0
-        # Set while a request is out, and for good once one may have run.
+        self.tried_endpoint_ids: set[str] = set()
+        self.sent_count = 0
+        self.connect_failures = 0
+        self.misdirected_count = 0
+        # Set while an attempt is in progress, and permanently once one may have run.
         self.may_have_run = False
-        self.reasons: list[str] = []
-        # The endpoint that has the request now, if any.
-        self.waiting_for = ''
-        # Endpoints looked at for a refusal, with the loads believed there.
-        self.loads = ''
-        self.placed: Placed | None = None
-        # The run whose answer is still being passed on.
-        self.streaming: EndpointRun | None = None
-
-    def note(self, endpoint_id: str, outcome: TryOutcome, *, ran_before: bool) -> None:
-        """Take the outcome of one try at ``endpoint_id``.
-
-        ``ran_before``: an earlier try may have run, whatever this one did.
+        self._failure_reasons: list[str] = []
+        # The endpoint that is processing the request now, if any.
+        self.current_endpoint_id = ''
+        # The endpoints considered before a refusal, with their estimated loads.
+        self.candidate_loads = ''
+        self.placement: PlacementDetails | None = None
+        # The endpoint run whose response is still being streamed to the caller.
+        self.streamed_run: EndpointRun | None = None
+
+    def record(
+        self, endpoint_id: str, outcome: AttemptOutcome, *, may_have_run_before: bool
+    ) -> None:
+        """Record the outcome of one attempt at ``endpoint_id``.
+
+        ``may_have_run_before``: an earlier attempt may have run, whatever this one did.
         """
-        self.tried.add(endpoint_id)
-        self.waiting_for = ''
+        self.tried_endpoint_ids.add(endpoint_id)
+        self.current_endpoint_id = ''
         if isinstance(outcome, NotSent):
-            self.unsent += 1
+            self.connect_failures += 1
         elif isinstance(outcome, NotRun) and outcome.misdirected:
-            self.misdirected += 1
+            self.misdirected_count += 1
         else:
-            self.sent += 1
-        self.may_have_run = ran_before or isinstance(outcome, Failed)
+            self.sent_count += 1
+        self.may_have_run = may_have_run_before or isinstance(outcome, Failed)
         if not isinstance(outcome, Answered):
-            self.reasons.append(f'{endpoint_id}: {outcome.reason}')
+            self._failure_reasons.append(f'{endpoint_id}: {outcome.reason}')
 
-    def why(self) -> Sequence[str]:
-        """Return why each try failed, in order."""
-        return tuple(self.reasons)
+    def failure_reasons(self) -> Sequence[str]:
+        """Return the reason for each failed attempt, in order."""
+        return tuple(self._failure_reasons)
--- a/packages/node/src/plantainloft_node/engine/bodies.py
+++ b/packages/node/src/plantainloft_node/engine/bodies.py
@@ -1,56 +1,56 @@
-"""A caller's request body, between its reader and its consumer."""
+"""A buffer between the reader of a caller's request body and its consumer."""
 
 import anyio
 
 __all__ = ['BodyTooLargeError', 'RequestBody']
 
-# Bodies up to this size are read whole before an endpoint is chosen, so
-# that one can be sent again; a longer one is streamed and sent once.
-REPLAY_BYTES = 65536
-# Pieces that may wait for the consumer; a full buffer stops the reading
-# of the caller's connection (back-pressure).
-PIECES = 4
+# A body up to this size is read completely before an endpoint is chosen, so that
+# the request can be retried; a longer one is streamed and sent only once.
+MAX_REPLAYABLE_BYTES = 65536
+# Chunks buffered for the consumer. A full buffer pauses reading from the
+# caller's connection (back-pressure).
+MAX_BUFFERED_CHUNKS = 4
 
 
 class BodyTooLargeError(Exception):
-    """The body is longer than callers may send."""
+    """The body exceeds the size that callers may send."""
 
 
 class RequestBody:
-    """Pieces of one body in order; ends with ``finish``."""
+    """The chunks of one body in order; ``finish`` marks the end."""
 
     def __init__(self, *, limit: int) -> None:
         self._limit = limit
         self._size = 0
         self._too_large = False
-        ends = anyio.create_memory_object_stream[bytes](PIECES)
-        self._send = ends[0]
-        self._receive = ends[1]
+        streams = anyio.create_memory_object_stream[bytes](MAX_BUFFERED_CHUNKS)
+        self._send = streams[0]
+        self._receive = streams[1]
 
-    async def put(self, piece: bytes) -> None:
-        """Add a piece; waits while the consumer is behind."""
-        self._size += len(piece)
+    async def put(self, chunk: bytes) -> None:
+        """Add a chunk; waits while the buffer is full."""
+        self._size += len(chunk)
         if self._size > self._limit:
             self._too_large = True
             self._send.close()
             raise BodyTooLargeError
         try:
-            await self._send.send(piece)
+            await self._send.send(chunk)
         except anyio.BrokenResourceError:
-            # The answer was sent without the rest of the body; what is
-            # still read of it belongs to no one.
+            # The response was sent before the whole body was read; the rest of
+            # the body is dropped.
             return
 
     def finish(self) -> None:
-        """The body is whole."""
+        """Mark the body as complete."""
         self._send.close()
 
     def discard(self) -> None:
-        """Nobody reads the rest."""
+        """Drop whatever has not been read yet."""
         self._receive.close()
 
     async def read(self) -> bytes:
-        """Return the next piece, or nothing at the end."""
+        """Return the next chunk, or empty bytes at the end."""
         try:
             return await self._receive.receive()
         except anyio.EndOfStream:
@@ -59,13 +59,13 @@
             return b''
 
     async def prefetch(self) -> tuple[bytes, bool]:
-        """Read up to ``REPLAY_BYTES``; return them and whether that is all."""
-        pieces: list[bytes] = []
+        """Read up to ``MAX_REPLAYABLE_BYTES``; return them and whether the body is complete."""
+        chunks: list[bytes] = []
         size = 0
-        while size <= REPLAY_BYTES:
-            piece = await self.read()
-            if not piece:
-                return b''.join(pieces), True
-            pieces.append(piece)
-            size += len(piece)
-        return b''.join(pieces), False
+        while size <= MAX_REPLAYABLE_BYTES:
+            chunk = await self.read()
+            if not chunk:
+                return b''.join(chunks), True
+            chunks.append(chunk)
+            size += len(chunk)
+        return b''.join(chunks), False
--- a/packages/node/src/plantainloft_node/engine/dialect.py
+++ b/packages/node/src/plantainloft_node/engine/dialect.py
@@ -1,7 +1,6 @@
-"""Names of the headers that the engine reads and sets.
+"""Names of the HTTP headers that the engine reads and sets.
 
-The engine decides; how a deployment spells the headers is given to it.
-The defaults are the product's own names.
+Each deployment can configure its own names; the defaults are the product's.
 """
 
 from typing import NamedTuple
@@ -12,15 +11,16 @@
 class HeaderNames(NamedTuple):
     """Header names in lower case, as bytes.
 
-    ``deadline`` carries milliseconds left; ``affinity_cookie`` names the
-    cookie whose value tells which object a request is about; ``target``
-    carries the endpoint incarnation that must run the request; ``not_run``
-    is an endpoint's word that it did not run the request; ``signature`` is
-    borne by each answer of an endpoint's own (``None``: answers bear none);
-    ``load`` carries requests running, waiting, and slots; ``credentials``
-    are the headers by which a caller is known. ``key`` carries the key of the
-    caller's organisation, and is never passed on; ``organisation`` tells an
-    endpoint that organisation's name.
+    ``request_id`` carries the caller's id of a request; ``deadline`` carries the
+    remaining time in milliseconds; ``affinity_cookie`` names the cookie whose value
+    identifies the object that a request is about; ``target`` carries the endpoint
+    incarnation that must run the request; ``not_run`` is set by an endpoint that did
+    not run the request; ``signature`` is set on every response that an endpoint itself
+    produced (``None``: responses are not signed); ``load`` carries the numbers of
+    running requests, waiting requests, and slots; ``key`` carries the API key of the
+    caller's organisation and is removed before forwarding if the configuration requires
+    keys; ``organisation`` tells an endpoint the name of that organisation;
+    ``credentials`` are the headers that identify a caller.
     """
 
     request_id: bytes = b'x-request-id'
--- a/packages/node/src/plantainloft_node/engine/dispatch.py
+++ b/packages/node/src/plantainloft_node/engine/dispatch.py
@@ -1,9 +1,9 @@
-"""Get one request answered: place it, send it, and send it once more.
+"""Obtains the response to one request: choose an endpoint, send, and retry.
 
-What may be answered follows from what was sent. A refusal (503 with
-``Retry-After``) says that the request did not run and never will; it is
-given only while nothing was sent or endpoints said so themselves. After
-that, only the endpoint's own answer, 502 or 504 are true.
+What the caller may be told depends on what was sent. A refusal (503 with
+``Retry-After``) promises that the request did not run and never will, so it is
+given only if nothing was sent or the endpoints themselves reported that they did
+not run it. Otherwise only the endpoint's own response, 502 or 504 is correct.
 """
 
 import logging
@@ -21,15 +21,15 @@
     Failed,
     NotRun,
     NotSent,
-    Placed,
+    PlacementDetails,
     Refusal,
 )
 from plantainloft_node.engine.dialect import HeaderNames
 from plantainloft_node.engine.endpoint_link import OutgoingRequest
 from plantainloft_node.engine.exchange import Exchange
-from plantainloft_node.engine.heads import Headers, passed_on
+from plantainloft_node.engine.heads import Headers, forwardable_headers
 from plantainloft_node.engine.replies import request_id
-from plantainloft_node.engine.sender import Sender, Sending
+from plantainloft_node.engine.sender import EndpointRequest, Sender
 from plantainloft_node.placing.budget import Allowance, RetryBudget
 from plantainloft_node.placing.demand import DemandMeter
 from plantainloft_node.placing.placement import NoCapacity, Placement, PlacementRequest, Selection
@@ -39,22 +39,22 @@
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint, fingerprint_of
 from plantainloft_node.quarantine.quarantine import Admission, Admitted, Quarantine, ShutOut
 
-__all__ = ['AdmittedRequest', 'Dispatcher', 'RetryTerms', 'refuse_with_retry_after']
+__all__ = ['AdmittedRequest', 'Dispatcher', 'RetryTerms', 'refusal_with_retry_after']
 
 log = logging.getLogger(__name__)
 
-MS = 1000.0
-# Endpoints that could not be connected to before the request is refused.
+MS_PER_S = 1000.0
+# Failed connection attempts after which a request is refused.
 MAX_UNSENT = 3
 MAX_MISDIRECTED = 2
-# A refused caller comes back after about the time in which endpoints
-# finish a round of requests, spread so that not all come at once.
-RETRY_MIN_S = 0.15
-RETRY_SPREAD_S = 0.35
+# Bounds of Retry-After: about the time in which endpoints finish their current
+# requests, with jitter so that refused callers do not all retry at once.
+MIN_RETRY_AFTER_S = 0.15
+RETRY_AFTER_JITTER_S = 0.35
 
 
 class RetryTerms(NamedTuple):
-    """Bounds on repeats to one service, over all instances."""
+    """Limits on the retries to one service, across all instances."""
 
     ratio: float
     extra: float
@@ -62,22 +62,23 @@
 
 
 class AdmittedRequest(NamedTuple):
-    """A request with its route and the moment it must be answered by.
+    """A request with its route and its deadline.
 
-    ``organisation`` is the caller's, by its key; ``None`` where none is asked.
+    ``organisation`` is the one identified by the caller's key; ``None`` where no key
+    is required.
     """
 
     exchange: Exchange
     route: Route
-    key: str
+    affinity_key: str
     deadline: float
     body: bytes
-    whole: bool
+    body_complete: bool
     organisation: Organisation | None = None
 
 
 class Dispatcher:
-    """Sends requests to endpoints until one is answered or none may be."""
+    """Sends a request to endpoints until it is answered or may not be retried."""
 
     def __init__(
         self,
@@ -101,28 +102,29 @@
 
     @property
     def crashes(self) -> CrashBook:
-        """Which requests crashed endpoints."""
+        """The crashes of endpoints, by the request that caused them."""
         return self._quarantine.book
 
     def budgets_left(self, now: float) -> dict[str, float]:
-        """Return the repeats left by service."""
+        """Return the remaining retry budget of each service."""
         return {
             service: budget.left(now, self._allowance())
             for service, budget in self._budget_by_service.items()
         }
 
-    async def obtain(
+    async def dispatch(
         self, admitted: AdmittedRequest, table: RouteTable, attempts: Attempts
     ) -> Answered | Refusal | Failed | ShutOut:
-        """Return the answer, or why there is none.
+        """Return the response, or why there is none.
 
-        Cancel to give up; ``attempts`` then tells what may have run.
+        May be cancelled at any time; ``attempts`` then tells whether the request may
+        have run.
         """
         admission = await self._admit(admitted)
         if isinstance(admission, ShutOut):
             return admission
-        # Endpoints have ended under the same request before: another may.
-        is_sent_once = admission != Admitted()
+        # The same request has crashed endpoints before and could crash another one.
+        send_once = admission != Admitted()
         route = admitted.route
         turns = self._turns_by_route.setdefault(route.name, SplitTurns())
         service = turns.next(route.shares)
@@ -130,19 +132,21 @@
         budget.note_request(anyio.current_time())
         self.demand.note(service)
         while True:
-            outcome = await self._try(admitted, service, table, attempts)
+            outcome = await self._attempt(admitted, service, table, attempts)
             if isinstance(outcome, Refusal):
-                return _after_refusal(outcome, attempts)
+                return _refusal_or_failure(outcome, attempts)
             if isinstance(outcome, Answered | Failed):
-                is_last = is_sent_once or _is_final(outcome)
+                is_last = send_once or _is_final(outcome)
                 if is_last or not self._may_retry_executed(admitted, budget, attempts):
                     return outcome
             elif not self._may_retry_unexecuted(admitted, budget, attempts, outcome):
-                return _after_refusal(refuse_with_retry_after('; '.join(attempts.why())), attempts)
+                return _refusal_or_failure(
+                    refusal_with_retry_after('; '.join(attempts.failure_reasons())), attempts
+                )
 
-    def note_streamed(self, run: EndpointRun, *, whole: bool) -> None:
-        """Take how the answer of ``run`` ended that was passed on as it came."""
-        if whole:
+    def record_streamed_response(self, run: EndpointRun, *, complete: bool) -> None:
+        """Record how the streamed response of ``run`` ended."""
+        if complete:
             self._quarantine.note_answered(run.request, anyio.current_time())
         else:
             self._crash_checks.note_broken(run)
@@ -152,61 +156,69 @@
             return Admitted()
         return await self._quarantine.admit(self._fingerprint(admitted))
 
-    async def _try(
+    async def _attempt(
         self, admitted: AdmittedRequest, service: str, table: RouteTable, attempts: Attempts
     ) -> Answered | NotSent | NotRun | Failed | Refusal:
         now = anyio.current_time()
-        left_s = admitted.deadline - now
-        wanted = PlacementRequest(
-            admitted.route, service, admitted.key, frozenset(attempts.tried), left_s
+        remaining_s = admitted.deadline - now
+        placement_request = PlacementRequest(
+            admitted.route,
+            service,
+            admitted.affinity_key,
+            frozenset(attempts.tried_endpoint_ids),
+            remaining_s,
         )
-        choice = self._placement.choose(wanted, table.services_by_name[service], now)
-        if isinstance(choice, NoCapacity):
-            attempts.loads = choice.loads
-            return refuse_with_retry_after(choice.reason)
-        self._placement.note_sent(choice.endpoint, now)
-        sending = self._sending(admitted, choice, now, hides_key=table.asks_for_keys)
-        ran_before = attempts.may_have_run
+        selection = self._placement.choose(placement_request, table.services_by_name[service], now)
+        if isinstance(selection, NoCapacity):
+            attempts.candidate_loads = selection.loads
+            return refusal_with_retry_after(selection.reason)
+        self._placement.note_sent(selection.endpoint, now)
+        endpoint_request = self._build_endpoint_request(
+            admitted, selection, now, strip_key=table.asks_for_keys
+        )
+        may_have_run_before = attempts.may_have_run
         attempts.may_have_run = True
-        attempts.waiting_for = choice.endpoint.record.id
-        attempts.placed = _placed(choice, admitted, now)
-        outcome = await self._sender.send(choice.endpoint, sending)
-        attempts.note(choice.endpoint.record.id, outcome, ran_before=ran_before)
+        attempts.current_endpoint_id = selection.endpoint.record.id
+        attempts.placement = _placement_details(selection, admitted, now)
+        outcome = await self._sender.send(selection.endpoint, endpoint_request)
+        attempts.record(
+            selection.endpoint.record.id, outcome, may_have_run_before=may_have_run_before
+        )
         if isinstance(outcome, Answered):
-            self._note_answered(admitted, choice, outcome, attempts)
+            self._note_answered(admitted, selection, outcome, attempts)
         else:
-            self._note_unanswered(admitted, choice, outcome)
+            self._note_unanswered(admitted, selection, outcome)
         return outcome
 
     def _note_answered(
-        self, admitted: AdmittedRequest, choice: Selection, outcome: Answered, attempts: Attempts
+        self, admitted: AdmittedRequest, selection: Selection, outcome: Answered, attempts: Attempts
     ) -> None:
-        # Its own failure may be the deadline, before a run gets to its crash.
+        # A 5xx may only report a deadline that passed before the run reached its crash.
         if outcome.head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             return
-        if outcome.rest is None:
+        if outcome.body_source is None:
             self._quarantine.note_answered(self._fingerprint(admitted), anyio.current_time())
         else:
-            attempts.streaming = self._run(admitted, choice)
+            attempts.streamed_run = self._endpoint_run(admitted, selection)
 
     def _note_unanswered(
-        self, admitted: AdmittedRequest, choice: Selection, outcome: NotSent | NotRun | Failed
+        self, admitted: AdmittedRequest, selection: Selection, outcome: NotSent | NotRun | Failed
     ) -> None:
         fields: dict[str, object] = {
             'request': request_id(admitted.exchange, self._names),
-            'endpoint': choice.endpoint.record.id,
-            'load': round(choice.load, 1),
+            'endpoint': selection.endpoint.record.id,
+            'load': round(selection.load, 1),
             'outcome': type(outcome).__name__,
             'reason': outcome.reason,
         }
         if isinstance(outcome, Failed) and outcome.broke:
-            run = self._run(admitted, choice)
+            run = self._endpoint_run(admitted, selection)
             fields['fingerprint'] = str(run.request)
             self._crash_checks.note_broken(run)
-        log.info('Front: a try failed.', extra={'kind': 'try', 'fields': fields})
+        log.info('Front: attempt failed.', extra={'kind': 'try', 'fields': fields})
 
-    def _run(self, admitted: AdmittedRequest, choice: Selection) -> EndpointRun:
-        record = choice.endpoint.record
+    def _endpoint_run(self, admitted: AdmittedRequest, selection: Selection) -> EndpointRun:
+        record = selection.endpoint.record
         return EndpointRun(
             request=self._fingerprint(admitted),
             request_id=request_id(admitted.exchange, self._names),
@@ -230,13 +242,13 @@
         self, admitted: AdmittedRequest, budget: RetryBudget, attempts: Attempts
     ) -> bool:
         """Return whether a request that may have run may be sent again."""
-        if not admitted.route.idempotent or not admitted.whole:
+        if not admitted.route.idempotent or not admitted.body_complete:
             return False
         if self._quarantine.book.standing(
             self._fingerprint(admitted), anyio.current_time()
         ).is_quarantined:
             return False
-        return self._has_retry_budget(admitted, budget, attempts)
+        return self._take_retry(admitted, budget, attempts)
 
     def _may_retry_unexecuted(
         self,
@@ -245,15 +257,18 @@
         attempts: Attempts,
         outcome: NotSent | NotRun,
     ) -> bool:
-        """Return whether a request that did not run may be sent on."""
+        """Return whether a request that did not run may be sent to another endpoint."""
         if isinstance(outcome, NotSent):
-            return attempts.unsent < MAX_UNSENT
-        return admitted.whole and self._has_retry_budget(admitted, budget, attempts)
+            return attempts.connect_failures < MAX_UNSENT
+        return admitted.body_complete and self._take_retry(admitted, budget, attempts)
 
-    def _has_retry_budget(
+    def _take_retry(
         self, admitted: AdmittedRequest, budget: RetryBudget, attempts: Attempts
     ) -> bool:
-        if attempts.sent >= admitted.route.max_attempts or attempts.misdirected > MAX_MISDIRECTED:
+        if (
+            attempts.sent_count >= admitted.route.max_attempts
+            or attempts.misdirected_count > MAX_MISDIRECTED
+        ):
             return False
         now = anyio.current_time()
         if now >= admitted.deadline:
@@ -267,20 +282,20 @@
             instances=self._placement.instance_count,
         )
 
-    def _sending(
-        self, admitted: AdmittedRequest, choice: Selection, now: float, *, hides_key: bool
-    ) -> Sending:
+    def _build_endpoint_request(
+        self, admitted: AdmittedRequest, selection: Selection, now: float, *, strip_key: bool
+    ) -> EndpointRequest:
         names = self._names
         exchange = admitted.exchange
-        own = frozenset((names.deadline, names.target, names.organisation))
-        if hides_key:
-            own |= {names.key}
-        if admitted.whole and exchange.header(b'transfer-encoding'):
-            own |= {b'content-length'}
-        headers: Headers = passed_on(exchange.headers, without=own)
-        left_ms = max(1, int((admitted.deadline - now) * MS))
-        headers.append((names.deadline, str(left_ms).encode()))
-        headers.append((names.target, choice.endpoint.record.id.encode()))
+        replaced_headers = frozenset((names.deadline, names.target, names.organisation))
+        if strip_key:
+            replaced_headers |= {names.key}
+        if admitted.body_complete and exchange.header(b'transfer-encoding'):
+            replaced_headers |= {b'content-length'}
+        headers: Headers = forwardable_headers(exchange.headers, exclude=replaced_headers)
+        remaining_ms = max(1, int((admitted.deadline - now) * MS_PER_S))
+        headers.append((names.deadline, str(remaining_ms).encode()))
+        headers.append((names.target, selection.endpoint.record.id.encode()))
         if admitted.organisation is not None:
             headers.append((names.organisation, admitted.organisation.name.encode()))
         if exchange.header(b'transfer-encoding'):
@@ -290,14 +305,14 @@
             target=exchange.target,
             headers=headers,
             body=admitted.body,
-            whole=admitted.whole,
+            whole=admitted.body_complete,
             request_id=exchange.header(names.request_id) or b'',
         )
-        return Sending(
+        return EndpointRequest(
             request=request,
-            rest=None if admitted.whole else exchange.body,
-            key=admitted.key,
-            had_room=choice.load < choice.endpoint.record.slots,
+            streamed_body=None if admitted.body_complete else exchange.body,
+            affinity_key=admitted.affinity_key,
+            had_room=selection.load < selection.endpoint.record.slots,
         )
 
     def _budget(self, service: str) -> RetryBudget:
@@ -308,18 +323,20 @@
         return budget
 
 
-def _placed(choice: Selection, admitted: AdmittedRequest, now: float) -> Placed:
-    record = choice.endpoint.record
-    return Placed(
+def _placement_details(
+    selection: Selection, admitted: AdmittedRequest, now: float
+) -> PlacementDetails:
+    record = selection.endpoint.record
+    return PlacementDetails(
         endpoint_id=record.id,
         zone=record.zone,
-        region=choice.endpoint.region,
+        region=selection.endpoint.region,
         slots=record.slots,
-        load=round(choice.load, 1),
-        rank=choice.rank,
-        cold=choice.endpoint.is_cold(now),
-        remembered=choice.endpoint.keys.has(admitted.key, now),
-        after_s=now - admitted.exchange.received_at,
+        load=round(selection.load, 1),
+        rank=selection.rank,
+        cold=selection.endpoint.is_cold(now),
+        served_key_recently=selection.endpoint.keys.has(admitted.affinity_key, now),
+        delay_s=now - admitted.exchange.received_at,
     )
 
 
@@ -329,10 +346,12 @@
     )
 
 
-def refuse_with_retry_after(reason: str) -> Refusal:
-    """Return a refusal that tells the caller when to come back."""
-    return Refusal(reason=reason, retry_after_s=RETRY_MIN_S + random.random() * RETRY_SPREAD_S)
+def refusal_with_retry_after(reason: str) -> Refusal:
+    """Return a refusal that tells the caller when to retry."""
+    return Refusal(
+        reason=reason, retry_after_s=MIN_RETRY_AFTER_S + random.random() * RETRY_AFTER_JITTER_S
+    )
 
 
-def _after_refusal(refusal: Refusal, attempts: Attempts) -> Refusal | Failed:
+def _refusal_or_failure(refusal: Refusal, attempts: Attempts) -> Refusal | Failed:
     return Failed(reason=refusal.reason) if attempts.may_have_run else refusal
--- a/packages/node/src/plantainloft_node/engine/endpoint_link.py
+++ b/packages/node/src/plantainloft_node/engine/endpoint_link.py
@@ -1,8 +1,8 @@
-"""One connection to a server: requests out, whole answers back.
+"""An HTTP/1.1 client connection that carries one request at a time.
 
-The same link serves endpoints and the platform's store. It knows whether
-a byte of a request was sent, which decides what may be said of it later,
-and tells answers to other requests by the id that answers repeat.
+Used for endpoints and for the platform's store. It tracks whether any byte of a
+request was sent, which determines what may be reported about that request, and
+recognises responses to other requests by the request id that responses echo.
 """
 
 import select
@@ -13,45 +13,48 @@
 import h11
 from anyio.abc import SocketAttribute, SocketStream
 
-from plantainloft_node.engine.heads import Headers, find
+from plantainloft_node.engine.heads import Headers, find_header
 
 __all__ = [
     'CONNECT_S',
     'SEND_ERRORS',
-    'AnswerHead',
     'BrokenAnswerError',
-    'EndpointLink',
     'OutgoingRequest',
+    'ResponseHead',
+    'UpstreamConnection',
     'connect',
 ]
 
 READ_BYTES = 65536
-# A live endpoint accepts a connection within this time, from any region.
+# A live endpoint in any region accepts a connection within this time.
 CONNECT_S = 0.4
-# How sending on a connection that has ended fails.
+# Raised when sending on, or receiving from, a connection that has ended.
 SEND_ERRORS = (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError)
-# An idle connection is not used after this share of the time for which
-# the endpoint says it keeps it: a request that crosses the close is lost.
-KEPT_SHARE = 0.6
-# Where the endpoint says nothing.
-KEPT_S = 4.0
-# A connection can go silent for good while new ones work, because something
-# between has lost track of it. Without probes a poll of the store on it
-# waits out its whole time, deaf to all news, and an idle one is reused and
-# loses a request. Probed after 1 s, each second, it ends within 3 s.
-KEEP_ALIVE = (
+# An idle connection is reused only during this share of the keep-alive time that
+# the server announces: a request sent while the server closes would be lost.
+KEEP_ALIVE_SAFETY_FACTOR = 0.6
+# Used when the server announces no keep-alive time.
+DEFAULT_KEEP_ALIVE_S = 4.0
+# A middlebox that loses track of a connection leaves it silent for good, while new
+# ones work. Without probes, a poll of the store on it receives no changes until its
+# timeout, and an idle one is reused and loses a request. With a probe every second
+# after 1 s of silence, the connection fails within 3 s.
+TCP_KEEPALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 3000),
 )
-# Unused answers to earlier requests that are skipped on one connection.
-MAX_STALE = 3
+# Stale responses to earlier requests that are skipped per request.
+MAX_STALE_RESPONSES = 3
 
 
 class OutgoingRequest(NamedTuple):
-    """A request as it goes to a server; ``request_id`` may be empty."""
+    """A request to a server; ``request_id`` may be empty.
+
+    ``whole``: ``body`` is the complete body, nothing is streamed after it.
+    """
 
     method: bytes
     target: bytes
@@ -61,23 +64,23 @@
     request_id: bytes = b''
 
 
-class AnswerHead(NamedTuple):
-    """Status and headers (lower-case names) of an answer."""
+class ResponseHead(NamedTuple):
+    """Status and headers (lower-case names) of a response."""
 
     status: int
     headers: Headers
 
 
 class BrokenAnswerError(Exception):
-    """The answer did not come whole."""
+    """The response was incomplete or not valid HTTP."""
 
     def __init__(self, *, reason: str) -> None:
         super().__init__(reason)
         self.reason = reason
 
 
-class EndpointLink:
-    """A connection that carries one request at a time."""
+class UpstreamConnection:
+    """A connection to a server that carries one request at a time."""
 
     def __init__(self, *, stream: SocketStream, id_header: bytes) -> None:
         self._stream = stream
@@ -85,77 +88,77 @@
         self._protocol = h11.Connection(h11.CLIENT)
         self._request: OutgoingRequest | None = None
         self._body_sent = True
-        self.sent_any = False
+        self.send_started = False
         self.usable_until = 0.0
-        self.used = 0
+        self.request_count = 0
 
     async def send(self, request: OutgoingRequest) -> None:
-        """Send the head and what is at hand of the body."""
+        """Send the head of a request and the part of its body that is available."""
         self._request = request
         self._body_sent = request.whole
         encoded = self._encode(self._protocol, request)
-        # Set before sending: once the send has begun, an error no longer
-        # tells whether the bytes arrived.
-        self.sent_any = True
-        self.used += 1
+        # Set before sending: after an error during the send it is unknown whether
+        # the bytes arrived.
+        self.send_started = True
+        self.request_count += 1
         await self._stream.send(encoded)
 
-    async def send_body(self, piece: bytes) -> None:
-        """Send one more piece of the body; an empty one ends it."""
-        if piece:
-            encoded = self._protocol.send(h11.Data(data=piece))
+    async def send_body(self, chunk: bytes) -> None:
+        """Send one chunk of the body; an empty one ends the body."""
+        if chunk:
+            encoded = self._protocol.send(h11.Data(data=chunk))
         else:
             encoded = self._protocol.send(h11.EndOfMessage())
             self._body_sent = True
         await self._stream.send(encoded or b'')
 
-    async def answer_head(self) -> AnswerHead:
-        """Wait for the head of the answer to the request sent last."""
-        for _ in range(MAX_STALE + 1):
+    async def read_head(self) -> ResponseHead:
+        """Wait for the head of the response to the latest request."""
+        for _ in range(MAX_STALE_RESPONSES + 1):
             head = await self._next_head()
-            answered_id = find(head.headers, self._id_header)
-            wanted_id = self._request.request_id if self._request else b''
-            if not wanted_id or answered_id is None or answered_id == wanted_id:
+            echoed_id = find_header(head.headers, self._id_header)
+            expected_id = self._request.request_id if self._request else b''
+            if not expected_id or echoed_id is None or echoed_id == expected_id:
                 return head
-            # A second answer to an earlier request, come late. Given to
-            # this caller it would be somebody else's content.
-            await self._skip_answer()
-        raise BrokenAnswerError(reason='answers to other requests')
+            # A late duplicate response to an earlier request. Passed on, it would
+            # disclose the content of another caller's response.
+            await self._discard_stale_response()
+        raise BrokenAnswerError(reason='only stale responses to other requests')
 
-    async def answer_piece(self) -> bytes:
-        """Return the next piece of the body, or nothing at its end."""
+    async def read_chunk(self) -> bytes:
+        """Return the next chunk of the body, or empty bytes at its end."""
         while True:
-            event = await self._event()
+            event = await self._next_event()
             if isinstance(event, h11.Data):
                 return bytes(event.data)
             if isinstance(event, h11.EndOfMessage):
                 return b''
             if not isinstance(event, h11.InformationalResponse):
-                raise BrokenAnswerError(reason='unexpected end')
+                raise BrokenAnswerError(reason='connection closed within the response body')
 
-    async def skip_body(self) -> None:
-        """Read the rest of the answer and forget it."""
-        piece = await self.answer_piece()
-        while piece:
-            piece = await self.answer_piece()
+    async def discard_body(self) -> None:
+        """Read and drop the rest of the response body."""
+        chunk = await self.read_chunk()
+        while chunk:
+            chunk = await self.read_chunk()
 
-    def reusable(self, head: AnswerHead, now: float) -> bool:
-        """Make ready for another request, if that is safe."""
+    def reset_for_reuse(self, head: ResponseHead, now: float) -> bool:
+        """Prepare for another request if that is safe; return whether it is."""
         protocol = self._protocol
         if not self._body_sent or protocol.trailing_data[0]:
             return False
         if protocol.our_state is not h11.DONE or protocol.their_state is not h11.DONE:
             return False
         protocol.start_next_cycle()
-        self.sent_any = False
-        self.usable_until = now + _kept_s(head)
+        self.send_started = False
+        self.usable_until = now + _keep_alive_s(head)
         return True
 
-    def quiet(self, now: float) -> bool:
-        """Return whether an idle connection still looks open and silent.
+    def is_usable(self, now: float) -> bool:
+        """Return whether an idle connection still looks open and has nothing to read.
 
-        Readable means that the server closed it or sent bytes that no
-        request asked for; either way it must not carry a request.
+        If it is readable, the server has closed it or has sent bytes that belong to
+        no request; either way it must not carry another request.
         """
         if now >= self.usable_until:
             return False
@@ -164,7 +167,7 @@
         return not poll.poll(0)
 
     async def close(self) -> None:
-        """Close at once; a server at work on a request may drop it."""
+        """Close immediately; a server that still works on a request may cancel it."""
         await anyio.aclose_forcefully(self._stream)
 
     def _encode(self, protocol: h11.Connection, request: OutgoingRequest) -> bytes:
@@ -176,35 +179,35 @@
             parts.append(protocol.send(h11.EndOfMessage()) or b'')
         return b''.join(parts)
 
-    async def _next_head(self) -> AnswerHead:
+    async def _next_head(self) -> ResponseHead:
         while True:
-            event = await self._event()
+            event = await self._next_event()
             if isinstance(event, h11.Response):
-                headers = [(bytes(key), bytes(content)) for key, content in event.headers]
-                return AnswerHead(status=event.status_code, headers=headers)
+                headers = [(bytes(key), bytes(value)) for key, value in event.headers]
+                return ResponseHead(status=event.status_code, headers=headers)
             if not isinstance(event, h11.InformationalResponse):
-                raise BrokenAnswerError(reason='closed before an answer')
+                raise BrokenAnswerError(reason='connection closed before a response')
 
-    async def _skip_answer(self) -> None:
-        await self.skip_body()
+    async def _discard_stale_response(self) -> None:
+        await self.discard_body()
         if self._request is None or self._protocol.their_state is not h11.DONE:
-            raise BrokenAnswerError(reason='closed after an answer to another request')
+            raise BrokenAnswerError(reason='connection closed after a stale response')
         leftover = self._protocol.trailing_data[0]
         self._protocol = h11.Connection(h11.CLIENT)
         self._encode(self._protocol, self._request)
         self._protocol.receive_data(leftover)
 
-    async def _event(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
+    async def _next_event(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
         try:
             event = self._protocol.next_event()
         except h11.RemoteProtocolError as exc:
-            raise BrokenAnswerError(reason=f'not an answer: {exc}') from exc
+            raise BrokenAnswerError(reason=f'invalid HTTP response: {exc}') from exc
         while event is h11.NEED_DATA:
             await self._receive()
             try:
                 event = self._protocol.next_event()
             except h11.RemoteProtocolError as exc:
-                raise BrokenAnswerError(reason=f'not an answer: {exc}') from exc
+                raise BrokenAnswerError(reason=f'invalid HTTP response: {exc}') from exc
         return event
 
     async def _receive(self) -> None:
@@ -217,20 +220,20 @@
         self._protocol.receive_data(received)
 
 
-async def connect(address: str, *, id_header: bytes = b'') -> EndpointLink:
+async def connect(address: str, *, id_header: bytes = b'') -> UpstreamConnection:
     """Open a connection to ``address`` (``host:port``); raises ``OSError``."""
     host, _, port = address.rpartition(':')
     stream = await anyio.connect_tcp(host, int(port))
     raw_socket = stream.extra(SocketAttribute.raw_socket)
-    for level, option, setting in KEEP_ALIVE:
+    for level, option, setting in TCP_KEEPALIVE_OPTIONS:
         raw_socket.setsockopt(level, option, setting)
-    return EndpointLink(stream=stream, id_header=id_header)
+    return UpstreamConnection(stream=stream, id_header=id_header)
 
 
-def _kept_s(head: AnswerHead) -> float:
-    listed = find(head.headers, b'keep-alive') or b''
-    for part in listed.split(b','):
-        name, _, number = part.strip().partition(b'=')
+def _keep_alive_s(head: ResponseHead) -> float:
+    parameters = find_header(head.headers, b'keep-alive') or b''
+    for parameter in parameters.split(b','):
+        name, _, number = parameter.strip().partition(b'=')
         if name.lower() == b'timeout' and number.isdigit():
-            return int(number) * KEPT_SHARE
-    return KEPT_S
+            return int(number) * KEEP_ALIVE_SAFETY_FACTOR
+    return DEFAULT_KEEP_ALIVE_S
--- a/packages/node/src/plantainloft_node/engine/exchange.py
+++ b/packages/node/src/plantainloft_node/engine/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and its answer, and who gives it."""
+"""One request of a caller with its response, and the interface of its handler."""
 
 from abc import ABC, abstractmethod
 
@@ -7,112 +7,112 @@
 
 from plantainloft_core.routes import CallerLimits
 from plantainloft_node.engine.bodies import RequestBody
-from plantainloft_node.engine.heads import Headers, find
+from plantainloft_node.engine.heads import Headers, find_header
 
 __all__ = ['Connection', 'Exchange', 'Handler']
 
 
 class Connection(ABC):
-    """What an exchange needs of the connection that it came on.
+    """The connection of a caller, as an exchange uses it.
 
-    ``peer_host`` is the network address of the caller, without its port.
+    ``peer_host`` is the caller's network address, without the port.
     """
 
     peer_host: str
 
     @abstractmethod
     async def send(self, encoded: bytes) -> None:
-        """Send bytes of the answer whose turn it is."""
+        """Send encoded bytes of the current response."""
 
     @abstractmethod
     def closes_after(self, exchange: 'Exchange') -> bool:
-        """Return whether the connection ends with ``exchange``'s answer."""
+        """Return whether the connection closes after the response of ``exchange``."""
 
 
 class Exchange:
-    """One request and its answer on a caller's connection."""
+    """One request and its response on a caller's connection."""
 
     def __init__(
         self,
         *,
-        caller: Connection,
+        connection: Connection,
         protocol: h11.Connection,
         head: h11.Request,
         received_at: float,
         limits: CallerLimits,
     ) -> None:
-        self._caller = caller
+        self._connection = connection
         self._protocol = protocol
         self.method = bytes(head.method)
         self.target = bytes(head.target)
-        self.headers: Headers = [(bytes(key), bytes(content)) for key, content in head.headers]
+        self.headers: Headers = [(bytes(key), bytes(value)) for key, value in head.headers]
         self.received_at = received_at
         self.body = RequestBody(limit=limits.body_bytes)
-        # Set when every earlier answer of the connection has been sent.
-        self.turn = anyio.Event()
-        self.answered = False
+        # Set when all earlier responses of the connection have been sent.
+        self.earlier_responses_sent = anyio.Event()
+        self.response_started = False
         self._pending: bytes | None = b''
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the request's header called ``name`` (lower case)."""
-        return find(self.headers, name)
+        """Return the value of the request header ``name`` (lower case), if present."""
+        return find_header(self.headers, name)
 
     @property
     def path(self) -> str:
-        """The target's path, without its query."""
+        """The path of the target, without the query."""
         return self.target.partition(b'?')[0].decode('latin-1')
 
     @property
     def query(self) -> str:
-        """The target's query."""
+        """The query of the target, without the question mark."""
         return self.target.partition(b'?')[2].decode('latin-1')
 
     @property
     def peer_host(self) -> str:
-        """The network address of the caller, without its port."""
-        return self._caller.peer_host
+        """The caller's network address, without the port."""
+        return self._connection.peer_host
 
     async def answer(self, status: int, headers: Headers, body: bytes = b'') -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         framed = [*headers, (b'content-length', str(len(body)).encode())]
         await self.start(status, framed)
         await self.write(body)
         await self.finish()
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of the answer, when it is this request's turn."""
-        await self.turn.wait()
-        if self._caller.closes_after(self):
+        """Send the response head once all earlier responses have been sent."""
+        await self.earlier_responses_sent.wait()
+        if self._connection.closes_after(self):
             headers = [*headers, (b'connection', b'close')]
-        self.answered = True
+        self.response_started = True
         self._pending = self._protocol.send(h11.Response(status_code=status, headers=headers))
 
-    async def write(self, piece: bytes) -> None:
-        """Send a piece of the answer's body."""
-        if piece:
+    async def write(self, chunk: bytes) -> None:
+        """Send a chunk of the response body."""
+        if chunk:
             self._pending = (self._pending or b'') + (
-                self._protocol.send(h11.Data(data=piece)) or b''
+                self._protocol.send(h11.Data(data=chunk)) or b''
             )
             await self._flush()
 
     async def finish(self) -> None:
-        """End the answer."""
+        """Complete the response."""
         self._pending = (self._pending or b'') + (self._protocol.send(h11.EndOfMessage()) or b'')
         await self._flush()
 
-    def keeps_open(self) -> bool:
-        """Return whether the connection may serve requests after this."""
+    def keeps_alive(self) -> bool:
+        """Return whether the connection can serve further requests."""
         return self._protocol.our_state is h11.DONE
 
     async def _flush(self) -> None:
         pending = self._pending
         self._pending = b''
         if pending:
-            await self._caller.send(pending)
+            await self._connection.send(pending)
 
 
 class Handler(ABC):
-    """Answers the requests of callers' connections."""
+    """Answers the requests on callers' connections."""
 
     @abstractmethod
     async def handle(self, exchange: Exchange) -> None:
@@ -120,11 +120,12 @@
 
     @abstractmethod
     def repeatable(self, exchange: Exchange) -> bool:
-        """Return whether the request may run more than once.
+        """Return whether the request is idempotent, so that it may run more than once.
 
-        Only such a request runs before those ahead of it are answered.
+        Only such a request is run before the earlier requests of its connection have
+        been answered.
         """
 
     @abstractmethod
     def limits(self) -> CallerLimits:
-        """Return the limits in force."""
+        """Return the limits currently in force."""
--- a/packages/node/src/plantainloft_node/engine/heads.py
+++ b/packages/node/src/plantainloft_node/engine/heads.py
@@ -1,13 +1,13 @@
-"""Message heads: header look-up, and which headers are passed on."""
+"""Header look-up, and the selection of headers to forward."""
 
 from collections.abc import Iterable
 
-__all__ = ['Headers', 'find', 'find_cookie', 'passed_on']
+__all__ = ['Headers', 'find_cookie', 'find_header', 'forwardable_headers']
 
 Headers = list[tuple[bytes, bytes]]
 
-# RFC 9110 section 7.6.1: these concern one connection only.
-HOP_BY_HOP = frozenset(
+# RFC 9110 section 7.6.1: these headers apply to a single connection only.
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -21,33 +21,35 @@
 )
 
 
-def find(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes | None:
-    """Return the first header called ``name`` (lower case), if any."""
-    for key, content in headers:
+def find_header(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes | None:
+    """Return the value of the first header ``name`` (lower case), if any."""
+    for key, value in headers:
         if key == name:
-            return content
+            return value
     return None
 
 
 def find_cookie(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> str:
-    """Return the cookie called ``name``, or an empty string."""
+    """Return the value of the cookie ``name``, or an empty string."""
     wanted = name.lower()
-    for key, content in headers:
+    for key, value in headers:
         if key != b'cookie':
             continue
-        for pair in content.split(b';'):
+        for pair in value.split(b';'):
             cookie, _, text = pair.strip().partition(b'=')
             if cookie.lower() == wanted:
                 return text.decode('latin-1')
     return ''
 
 
-def passed_on(headers: Iterable[tuple[bytes, bytes]], *, without: frozenset[bytes]) -> Headers:
-    """Return the headers to pass on: neither hop-by-hop nor ``without``.
+def forwardable_headers(
+    headers: Iterable[tuple[bytes, bytes]], *, exclude: frozenset[bytes]
+) -> Headers:
+    """Return the headers to forward: neither hop-by-hop headers nor ``exclude``.
 
-    Headers that ``Connection`` names concern one connection as well.
+    Headers listed in ``Connection`` are hop-by-hop as well.
     """
-    listed = [content for key, content in headers if key == b'connection']
-    named = frozenset(token.strip().lower() for content in listed for token in content.split(b','))
-    dropped = HOP_BY_HOP | named | without
-    return [(key, content) for key, content in headers if key not in dropped]
+    listed = [value for key, value in headers if key == b'connection']
+    named = frozenset(token.strip().lower() for value in listed for token in value.split(b','))
+    dropped = HOP_BY_HOP_HEADERS | named | exclude
+    return [(key, value) for key, value in headers if key not in dropped]
--- a/packages/node/src/plantainloft_node/engine/pool.py
+++ b/packages/node/src/plantainloft_node/engine/pool.py
@@ -1,55 +1,54 @@
-"""Idle connections to endpoints, kept for the next request."""
+"""A pool of idle keep-alive connections to endpoints."""
 
 from collections.abc import Collection
 
-from plantainloft_node.engine.endpoint_link import EndpointLink
+from plantainloft_node.engine.endpoint_link import UpstreamConnection
 
 __all__ = ['LinkPool']
 
-# Idle connections kept to one endpoint. More than its slots are of no use
-# to one entry instance of several.
-IDLE_PER_ENDPOINT = 4
+# Connections beyond the slots of an endpoint are of no use, and several entry
+# instances share these slots.
+MAX_IDLE_PER_ENDPOINT = 4
 
 
 class LinkPool:
-    """Idle links by endpoint incarnation, the one used last first."""
+    """Idle connections by endpoint incarnation, most recently used first."""
 
     def __init__(self) -> None:
-        self._idle_by_incarnation: dict[str, list[EndpointLink]] = {}
+        self._idle_by_incarnation: dict[str, list[UpstreamConnection]] = {}
 
     def __len__(self) -> int:
-        """Return the links that are kept."""
+        """Return the number of idle connections."""
         return sum(map(len, self._idle_by_incarnation.values()))
 
-    async def take(self, incarnation: str, now: float) -> EndpointLink | None:
-        """Return an idle link that still looks open, if there is one."""
+    async def acquire(self, incarnation: str, now: float) -> UpstreamConnection | None:
+        """Return an idle connection that is still usable, if there is one."""
         idle = self._idle_by_incarnation.get(incarnation, [])
         while idle:
-            link = idle.pop()
-            if link.quiet(now):
-                return link
-            await link.close()
+            connection = idle.pop()
+            if connection.is_usable(now):
+                return connection
+            await connection.close()
         return None
 
-    async def give(self, incarnation: str, link: EndpointLink) -> None:
-        """Keep a reusable link."""
+    async def release(self, incarnation: str, connection: UpstreamConnection) -> None:
+        """Return a reusable connection to the pool."""
         idle = self._idle_by_incarnation.setdefault(incarnation, [])
-        idle.append(link)
-        if len(idle) > IDLE_PER_ENDPOINT:
+        idle.append(connection)
+        if len(idle) > MAX_IDLE_PER_ENDPOINT:
             await idle.pop(0).close()
 
-    async def drop(self, incarnation: str) -> None:
-        """Close the links to an endpoint."""
-        for link in self._idle_by_incarnation.pop(incarnation, []):
-            await link.close()
+    async def close_idle(self, incarnation: str) -> None:
+        """Close the idle connections to an endpoint."""
+        for connection in self._idle_by_incarnation.pop(incarnation, []):
+            await connection.close()
 
     async def keep_only(self, incarnations: Collection[str]) -> None:
-        """Close the links to all endpoints but ``incarnations``.
+        """Close the idle connections to all endpoints but ``incarnations``.
 
-        Nobody asks for a link to an endpoint that left, so nobody would
-        close it: the process would run out of descriptors by four for
-        each endpoint replaced, and reach a limit of 4,100 in three days at
-        370 a day.
+        No request is sent to an endpoint that has left, so nothing else would close
+        its connections. Each replaced endpoint would leak four descriptors; with 370
+        replacements a day, a limit of 4,100 descriptors is reached in three days.
         """
         for incarnation in self._idle_by_incarnation.keys() - set(incarnations):
-            await self.drop(incarnation)
+            await self.close_idle(incarnation)
--- a/packages/node/src/plantainloft_node/engine/replies.py
+++ b/packages/node/src/plantainloft_node/engine/replies.py
@@ -1,4 +1,4 @@
-"""Answers to callers: endpoints' own, refusals and failures."""
+"""Responses to callers: forwarded from endpoints, refusals and failures."""
 
 import logging
 from collections.abc import Callable
@@ -12,85 +12,88 @@
 from plantainloft_core.routes import Route
 from plantainloft_node.engine.attempts import Answered, Attempts, Failed, Refusal
 from plantainloft_node.engine.dialect import HeaderNames
-from plantainloft_node.engine.endpoint_link import BrokenAnswerError, EndpointLink
+from plantainloft_node.engine.endpoint_link import BrokenAnswerError, UpstreamConnection
 from plantainloft_node.engine.exchange import Exchange
-from plantainloft_node.engine.heads import Headers, passed_on
+from plantainloft_node.engine.heads import Headers, forwardable_headers
 from plantainloft_node.limits.limiter import OverLimit
 from plantainloft_node.quarantine.crash_checks import EndpointRun
 from plantainloft_node.quarantine.quarantine import ShutOut
 
-__all__ = ['OUT_OF_TIME', 'Replies', 'request_id']
+__all__ = ['DEADLINE_EXCEEDED', 'ResponseSender', 'request_id']
 
 log = logging.getLogger(__name__)
 
-MS = 1000.0
-OUT_OF_TIME = 'out of time'
-_BODILESS = frozenset((HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED))
-_FAILURE_STATUS = MappingProxyType({OUT_OF_TIME: HTTPStatus.GATEWAY_TIMEOUT})
+MS_PER_S = 1000.0
+DEADLINE_EXCEEDED = 'out of time'
+_STATUSES_WITHOUT_BODY = frozenset((HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED))
+_STATUS_BY_FAILURE = MappingProxyType({DEADLINE_EXCEEDED: HTTPStatus.GATEWAY_TIMEOUT})
 
 
 def request_id(exchange: Exchange, names: HeaderNames) -> str:
-    """Return the id that the caller gave its request, or an empty string."""
+    """Return the request id sent by the caller, or an empty string."""
     return (exchange.header(names.request_id) or b'').decode('latin-1')
 
 
 class StreamObserver(Protocol):
-    """Takes how the answer of a run ended that was passed on as it came."""
+    """Receives how the streamed response of an endpoint run ended."""
 
-    def __call__(self, run: EndpointRun, *, whole: bool) -> None:
-        """``whole``: it came to its end."""
+    def __call__(self, run: EndpointRun, *, complete: bool) -> None:
+        """``complete``: the response reached its end."""
 
 
-class Replies:
-    """Sends answers, and logs and counts how each request ended."""
+class ResponseSender:
+    """Sends responses, and logs and counts the outcome of each request."""
 
     def __init__(
         self,
         *,
         names: HeaderNames,
         observe: Callable[[str, str, float], None],
-        streamed: StreamObserver,
+        on_streamed: StreamObserver,
     ) -> None:
-        """``streamed`` takes how each answer ended that was passed on as it came."""
+        """``on_streamed`` is told how each streamed response ended."""
         self._names = names
-        self._streamed = streamed
+        self._on_streamed = on_streamed
         self._observe = observe
 
-    async def no_table(self, exchange: Exchange, refusal: Refusal) -> None:
-        """Refuse a request that came before any configuration."""
-        self._log_end(exchange, 'refused', {'reason': refusal.reason, 'version': 0})
-        await self.refuse(exchange, refusal)
-
-    def caller_left(self, exchange: Exchange, route: Route, attempts: Attempts) -> None:
-        """Note that nobody waits for the answer any more."""
-        took_s = anyio.current_time() - exchange.received_at
-        self._observe(route.name, 'caller_left', took_s)
-        fields = _fields(route, attempts, took_s)
-        fields['waiting_for'] = attempts.waiting_for
-        self._log_end(exchange, 'caller_left', fields)
-
-    async def no_route(self, exchange: Exchange, *, version: int) -> None:
-        """Answer that no route of configuration ``version`` matches."""
+    async def refuse_unconfigured(self, exchange: Exchange, refusal: Refusal) -> None:
+        """Refuse a request that arrived before any configuration."""
+        self._log_outcome(exchange, 'refused', {'reason': refusal.reason, 'version': 0})
+        await self.respond_refused(exchange, refusal)
+
+    def record_disconnect(self, exchange: Exchange, route: Route, attempts: Attempts) -> None:
+        """Record that the caller disconnected before the response."""
+        elapsed_s = anyio.current_time() - exchange.received_at
+        self._observe(route.name, 'caller_left', elapsed_s)
+        fields = _log_fields(route, attempts, elapsed_s)
+        fields['waiting_for'] = attempts.current_endpoint_id
+        self._log_outcome(exchange, 'caller_left', fields)
+
+    async def respond_no_route(self, exchange: Exchange, *, version: int) -> None:
+        """Respond 404: no route of configuration ``version`` matches."""
         host = (exchange.header(b'host') or b'').decode('latin-1')
         fields: dict[str, object] = {'version': version, 'host': host, 'path': exchange.path}
-        self._log_end(exchange, 'no_route', fields)
-        await self._say(exchange, HTTPStatus.NOT_FOUND)
+        self._log_outcome(exchange, 'no_route', fields)
+        await self._respond_empty(exchange, HTTPStatus.NOT_FOUND)
 
-    async def unauthorised(
+    async def respond_unauthorised(
         self, exchange: Exchange, route: Route, *, version: int, key: bytes | None
     ) -> None:
-        """Answer that no organisation holds ``key``; ``None`` if there was not just one."""
+        """Respond 401: no organisation holds ``key``.
+
+        ``key`` is ``None`` unless the request has exactly one.
+        """
         self._observe(route.name, 'unauthorised', anyio.current_time() - exchange.received_at)
         digest = None if key is None else digest_key(key)[:SHOWN_DIGITS]
         fields: dict[str, object] = {'route': route.name, 'version': version, 'key_digest': digest}
-        self._log_end(exchange, 'unauthorised', fields)
-        headers = [*self._own(exchange), (b'www-authenticate', self._names.key)]
+        self._log_outcome(exchange, 'unauthorised', fields)
+        headers = [*self._request_id_headers(exchange), (b'www-authenticate', self._names.key)]
         await exchange.answer(HTTPStatus.UNAUTHORIZED, headers)
 
-    async def over_limit(
+    async def respond_over_limit(
         self, exchange: Exchange, route: Route, over: OverLimit, *, version: int
     ) -> None:
-        """Answer that the request is beyond its organisation's limit, and when to come back."""
+        """Respond 429 with ``Retry-After``: the organisation's limit is exceeded."""
         self._observe(route.name, 'over_limit', anyio.current_time() - exchange.received_at)
         fields: dict[str, object] = {
             'route': route.name,
@@ -102,105 +105,114 @@
             'fleet_wanted': over.fleet.wanted,
             'retry_after_s': round(over.retry_after_s, 2),
         }
-        self._log_end(exchange, 'over_limit', fields)
-        after = f'{over.retry_after_s:.2f}'.encode()
-        headers = [*self._own(exchange), (b'retry-after', after)]
+        self._log_outcome(exchange, 'over_limit', fields)
+        retry_after = f'{over.retry_after_s:.2f}'.encode()
+        headers = [*self._request_id_headers(exchange), (b'retry-after', retry_after)]
         await exchange.answer(HTTPStatus.TOO_MANY_REQUESTS, headers)
 
-    async def too_large(self, exchange: Exchange) -> None:
-        """Answer that the body is longer than callers may send."""
-        self._log_end(exchange, 'too_large', {})
-        await self._say(exchange, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+    async def respond_too_large(self, exchange: Exchange) -> None:
+        """Respond 413: the body exceeds the size that callers may send."""
+        self._log_outcome(exchange, 'too_large', {})
+        await self._respond_empty(exchange, HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
-    async def reply(
+    async def respond(
         self,
         exchange: Exchange,
         route: Route,
         outcome: Answered | Refusal | Failed | ShutOut,
         attempts: Attempts,
     ) -> None:
-        """Answer by ``outcome``."""
-        took_s = anyio.current_time() - exchange.received_at
-        fields = _fields(route, attempts, took_s)
+        """Send the response that corresponds to ``outcome``."""
+        elapsed_s = anyio.current_time() - exchange.received_at
+        fields = _log_fields(route, attempts, elapsed_s)
         if isinstance(outcome, Answered):
             fields['endpoint'] = outcome.endpoint_id
             fields['status'] = outcome.head.status
-            self._observe(route.name, 'answered', took_s)
-            kind = 'late' if took_s > route.objective_s else 'answered'
-            self._log_end(exchange, kind, fields)
-            await self._relay(exchange, outcome, attempts)
+            self._observe(route.name, 'answered', elapsed_s)
+            kind = 'late' if elapsed_s > route.objective_s else 'answered'
+            self._log_outcome(exchange, kind, fields)
+            await self._forward_response(exchange, outcome, attempts)
         elif isinstance(outcome, Refusal):
-            self._observe(route.name, 'refused', took_s)
+            self._observe(route.name, 'refused', elapsed_s)
             fields['reason'] = outcome.reason
-            fields['endpoints'] = attempts.loads
-            self._log_end(exchange, 'refused', fields)
-            await self.refuse(exchange, outcome)
+            fields['endpoints'] = attempts.candidate_loads
+            self._log_outcome(exchange, 'refused', fields)
+            await self.respond_refused(exchange, outcome)
         elif isinstance(outcome, ShutOut):
-            self._observe(route.name, 'quarantined', took_s)
+            self._observe(route.name, 'quarantined', elapsed_s)
             fields['fingerprint'] = str(outcome.request)
             fields['crashes'] = outcome.crashes
-            self._log_end(exchange, 'quarantined', fields)
-            # No Retry-After: come back, it would be shut out again.
-            await self._say(exchange, HTTPStatus.BAD_GATEWAY)
+            self._log_outcome(exchange, 'quarantined', fields)
+            # No Retry-After: a repeated request would be refused again.
+            await self._respond_empty(exchange, HTTPStatus.BAD_GATEWAY)
         else:
-            self._observe(route.name, 'failed', took_s)
+            self._observe(route.name, 'failed', elapsed_s)
             fields['reason'] = outcome.reason
-            fields['waiting_for'] = attempts.waiting_for
-            self._log_end(exchange, 'failed', fields)
-            await self._say(exchange, _FAILURE_STATUS.get(outcome.reason, HTTPStatus.BAD_GATEWAY))
-
-    async def refuse(self, exchange: Exchange, refusal: Refusal) -> None:
-        """Answer that the request did not run, and when to come back."""
-        after = f'{refusal.retry_after_s:.2f}'.encode()
+            fields['waiting_for'] = attempts.current_endpoint_id
+            self._log_outcome(exchange, 'failed', fields)
+            await self._respond_empty(
+                exchange, _STATUS_BY_FAILURE.get(outcome.reason, HTTPStatus.BAD_GATEWAY)
+            )
+
+    async def respond_refused(self, exchange: Exchange, refusal: Refusal) -> None:
+        """Respond 503 with ``Retry-After``: the request did not run."""
+        retry_after = f'{refusal.retry_after_s:.2f}'.encode()
         await exchange.answer(
-            HTTPStatus.SERVICE_UNAVAILABLE, [*self._own(exchange), (b'retry-after', after)]
+            HTTPStatus.SERVICE_UNAVAILABLE,
+            [*self._request_id_headers(exchange), (b'retry-after', retry_after)],
         )
 
-    async def _relay(self, exchange: Exchange, outcome: Answered, attempts: Attempts) -> None:
+    async def _forward_response(
+        self, exchange: Exchange, outcome: Answered, attempts: Attempts
+    ) -> None:
         head = outcome.head
-        if exchange.method == b'HEAD' or head.status in _BODILESS:
-            # Its length tells of a body that is not sent.
-            await exchange.start(head.status, passed_on(head.headers, without=frozenset()))
+        if exchange.method == b'HEAD' or head.status in _STATUSES_WITHOUT_BODY:
+            # Content-Length describes a body that is not sent.
+            await exchange.start(
+                head.status, forwardable_headers(head.headers, exclude=frozenset())
+            )
             await exchange.finish()
             return
-        if outcome.rest is None:
-            headers = passed_on(head.headers, without=frozenset((b'content-length',)))
+        if outcome.body_source is None:
+            headers = forwardable_headers(head.headers, exclude=frozenset((b'content-length',)))
             await exchange.answer(head.status, headers, outcome.body)
             return
         try:
-            await self._stream(exchange, outcome, outcome.rest)
+            await self._stream(exchange, outcome, outcome.body_source)
         except BrokenAnswerError as exc:
-            # Ended like a whole answer, the rest that is missing would go
-            # unnoticed; the caller's connection is cut instead.
-            told: dict[str, object] = {'endpoint': outcome.endpoint_id, 'reason': exc.reason}
-            self._log_end(exchange, 'cut', told)
-            self._note_streamed(attempts, whole=False)
+            # Ending the response normally would hide that its rest is missing, so
+            # the caller's connection is closed instead.
+            fields: dict[str, object] = {'endpoint': outcome.endpoint_id, 'reason': exc.reason}
+            self._log_outcome(exchange, 'cut', fields)
+            self._report_streamed(attempts, complete=False)
             raise anyio.BrokenResourceError from exc
         finally:
-            await outcome.rest.close()
-        self._note_streamed(attempts, whole=True)
+            await outcome.body_source.close()
+        self._report_streamed(attempts, complete=True)
 
-    def _note_streamed(self, attempts: Attempts, *, whole: bool) -> None:
-        if attempts.streaming is not None:
-            self._streamed(attempts.streaming, whole=whole)
+    def _report_streamed(self, attempts: Attempts, *, complete: bool) -> None:
+        if attempts.streamed_run is not None:
+            self._on_streamed(attempts.streamed_run, complete=complete)
 
-    async def _stream(self, exchange: Exchange, outcome: Answered, link: EndpointLink) -> None:
+    async def _stream(
+        self, exchange: Exchange, outcome: Answered, connection: UpstreamConnection
+    ) -> None:
         head = outcome.head
-        await exchange.start(head.status, passed_on(head.headers, without=frozenset()))
-        piece = outcome.body
-        while piece:
-            await exchange.write(piece)
-            piece = await link.answer_piece()
+        await exchange.start(head.status, forwardable_headers(head.headers, exclude=frozenset()))
+        chunk = outcome.body
+        while chunk:
+            await exchange.write(chunk)
+            chunk = await connection.read_chunk()
         await exchange.finish()
 
-    async def _say(self, exchange: Exchange, status: int) -> None:
-        await exchange.answer(status, self._own(exchange))
+    async def _respond_empty(self, exchange: Exchange, status: int) -> None:
+        await exchange.answer(status, self._request_id_headers(exchange))
 
-    def _own(self, exchange: Exchange) -> Headers:
+    def _request_id_headers(self, exchange: Exchange) -> Headers:
         request_id = exchange.header(self._names.request_id)
         return [(self._names.request_id, request_id)] if request_id else []
 
-    def _log_end(self, exchange: Exchange, kind: str, fields: dict[str, object]) -> None:
+    def _log_outcome(self, exchange: Exchange, kind: str, fields: dict[str, object]) -> None:
         log.info(
             'Front: request %s.',
             kind,
@@ -211,24 +223,24 @@
         )
 
 
-def _fields(route: Route, attempts: Attempts, took_s: float) -> dict[str, object]:
+def _log_fields(route: Route, attempts: Attempts, elapsed_s: float) -> dict[str, object]:
     fields: dict[str, object] = {
         'route': route.name,
-        'ms': round(took_s * MS),
-        'key': attempts.context.key,
+        'ms': round(elapsed_s * MS_PER_S),
+        'key': attempts.context.affinity_key,
         'version': attempts.context.version,
-        'tries': attempts.why(),
+        'tries': attempts.failure_reasons(),
     }
     if attempts.context.organisation:
         fields['organisation'] = attempts.context.organisation
-    placed = attempts.placed
-    if placed is not None:
-        fields['endpoint_zone'] = placed.zone
-        fields['endpoint_region'] = placed.region
-        fields['slots'] = placed.slots
-        fields['load'] = placed.load
-        fields['rank'] = placed.rank
-        fields['cold'] = placed.cold
-        fields['remembered'] = placed.remembered
-        fields['placed_ms'] = round(placed.after_s * MS)
+    placement = attempts.placement
+    if placement is not None:
+        fields['endpoint_zone'] = placement.zone
+        fields['endpoint_region'] = placement.region
+        fields['slots'] = placement.slots
+        fields['load'] = placement.load
+        fields['rank'] = placement.rank
+        fields['cold'] = placement.cold
+        fields['remembered'] = placement.served_key_recently
+        fields['placed_ms'] = round(placement.delay_s * MS_PER_S)
     return fields
--- a/packages/node/src/plantainloft_node/engine/sender.py
+++ b/packages/node/src/plantainloft_node/engine/sender.py
@@ -1,4 +1,4 @@
-"""Send one request to one endpoint and tell what came of it."""
+"""Sends one request to one endpoint and classifies the outcome."""
 
 import itertools
 import logging
@@ -7,133 +7,146 @@
 
 import anyio
 
-from plantainloft_node.engine.attempts import Answered, Failed, NotRun, NotSent, TryOutcome
+from plantainloft_node.engine.attempts import Answered, AttemptOutcome, Failed, NotRun, NotSent
 from plantainloft_node.engine.bodies import BodyTooLargeError, RequestBody
 from plantainloft_node.engine.dialect import HeaderNames
 from plantainloft_node.engine.endpoint_link import (
     CONNECT_S,
     SEND_ERRORS,
-    AnswerHead,
     BrokenAnswerError,
-    EndpointLink,
     OutgoingRequest,
+    ResponseHead,
+    UpstreamConnection,
     connect,
 )
-from plantainloft_node.engine.heads import find
+from plantainloft_node.engine.heads import find_header
 from plantainloft_node.engine.pool import LinkPool
 from plantainloft_node.placing.endpoints import EndpointState
 
-__all__ = ['Sender', 'Sending']
+__all__ = ['EndpointRequest', 'Sender']
 
 log = logging.getLogger(__name__)
 
-# An answer up to this size is held until it is whole, so that one that
-# breaks off can be replaced; a longer one is passed on as it comes.
-HELD_BYTES = 65536
+# A response up to this size is buffered until it is complete, so that it can be
+# replaced by a retry or a 502 if it breaks off; a longer one is streamed to the caller.
+MAX_BUFFERED_RESPONSE_BYTES = 65536
 _MISDIRECTED = 421
-_PROMISES = frozenset((408, 421, 429, 503))
-_SUCCESS = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
+# Statuses from which a caller may conclude that its request did not run.
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+_SUCCESS_STATUSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
 
 
-class Sending(NamedTuple):
-    """A request as one endpoint gets it; ``rest`` streams a long body."""
+class EndpointRequest(NamedTuple):
+    """A request to one endpoint; ``streamed_body`` supplies the rest of a long body."""
 
     request: OutgoingRequest
-    rest: RequestBody | None
-    key: str = ''
+    streamed_body: RequestBody | None
+    affinity_key: str = ''
     had_room: bool = False
 
 
 class Sender:
-    """Sends requests over pooled connections and reads the answers."""
+    """Sends requests over pooled connections and reads the responses."""
 
     def __init__(self, *, names: HeaderNames, pool: LinkPool) -> None:
         self._names = names
         self._pool = pool
-        self._numbers = itertools.count()
+        self._attempt_numbers = itertools.count()
 
-    async def send(self, state: EndpointState, sending: Sending) -> TryOutcome:
-        """Send to ``state`` and wait for the answer; cancel to give up."""
-        number = next(self._numbers)
-        began = anyio.current_time()
+    async def send(self, state: EndpointState, endpoint_request: EndpointRequest) -> AttemptOutcome:
+        """Send to ``state`` and wait for the response; may be cancelled at any time."""
+        attempt_number = next(self._attempt_numbers)
+        started_at = anyio.current_time()
         state.in_flight += 1
-        state.health.note_sent(number, began)
-        outcome: TryOutcome | None = None
+        state.health.note_sent(attempt_number, started_at)
+        outcome: AttemptOutcome | None = None
         try:
-            outcome = await self._send(state, sending)
+            outcome = await self._send(state, endpoint_request)
         finally:
-            await self._end(state, number, unanswered_since=began if outcome is None else None)
-        self._learn(state, outcome, sending, began=began)
+            await self._finish_attempt(
+                state, attempt_number, unanswered_since=started_at if outcome is None else None
+            )
+        self._record_outcome(state, outcome, endpoint_request, started_at=started_at)
         return outcome
 
-    async def _end(
-        self, state: EndpointState, number: int, *, unanswered_since: float | None
+    async def _finish_attempt(
+        self, state: EndpointState, attempt_number: int, *, unanswered_since: float | None
     ) -> None:
         state.in_flight -= 1
-        state.health.note_ended(number)
+        state.health.note_ended(attempt_number)
         if unanswered_since is None:
             return
         now = anyio.current_time()
         state.note_given_up(now - unanswered_since, now)
         if now - unanswered_since > state.pace.silent_after_s:
-            # Given up without an answer: the endpoint's other kept
-            # connections may have gone silent together with this one.
-            await self._pool.drop(state.record.incarnation)
-
-    async def _send(self, state: EndpointState, sending: Sending) -> TryOutcome:
-        link = await self._link(state)
-        if isinstance(link, NotSent):
-            return link
+            # Abandoned without a response: the idle connections to the endpoint may
+            # have stopped responding together with this one.
+            await self._pool.close_idle(state.record.incarnation)
+
+    async def _send(
+        self, state: EndpointState, endpoint_request: EndpointRequest
+    ) -> AttemptOutcome:
+        connection = await self._get_connection(state)
+        if isinstance(connection, NotSent):
+            return connection
         kept = False
         try:
-            outcome, kept = await self._converse(state, link, sending)
+            outcome, kept = await self._send_and_receive(state, connection, endpoint_request)
         except SEND_ERRORS as exc:
             return Failed(reason=f'sending: {type(exc).__name__}', broke=True)
         except BrokenAnswerError as exc:
             return Failed(reason=exc.reason, broke=True)
         finally:
-            # Also when the caller left or time ran out: closing is how an
-            # endpoint learns that the work is wanted no more.
+            # Also when the caller disconnected or the deadline passed: closing the
+            # connection lets the endpoint cancel the request.
             if not kept:
-                await link.close()
+                await connection.close()
         return outcome
 
-    async def _link(self, state: EndpointState) -> EndpointLink | NotSent:
-        link = await self._pool.take(state.record.incarnation, anyio.current_time())
-        if link is not None:
-            return link
-        began = anyio.current_time()
+    async def _get_connection(self, state: EndpointState) -> UpstreamConnection | NotSent:
+        connection = await self._pool.acquire(state.record.incarnation, anyio.current_time())
+        if connection is not None:
+            return connection
+        started_at = anyio.current_time()
         try:
             with anyio.fail_after(CONNECT_S):
-                link = await connect(state.record.address, id_header=self._names.request_id)
+                connection = await connect(state.record.address, id_header=self._names.request_id)
         except (OSError, TimeoutError) as exc:
             return NotSent(reason=f'connecting: {type(exc).__name__}')
-        state.note_connected(anyio.current_time() - began)
-        return link
-
-    async def _converse(
-        self, state: EndpointState, link: EndpointLink, sending: Sending
-    ) -> tuple[TryOutcome, bool]:
-        """Return the outcome and whether the link lives on."""
-        await link.send(sending.request)
-        outcome = await self._await_answer(state, link, sending.rest)
-        if isinstance(outcome, Answered) and outcome.rest is not None:
+        state.note_connected(anyio.current_time() - started_at)
+        return connection
+
+    async def _send_and_receive(
+        self,
+        state: EndpointState,
+        connection: UpstreamConnection,
+        endpoint_request: EndpointRequest,
+    ) -> tuple[AttemptOutcome, bool]:
+        """Return the outcome and whether the connection must stay open."""
+        await connection.send(endpoint_request.request)
+        outcome = await self._receive_while_streaming(
+            state, connection, endpoint_request.streamed_body
+        )
+        if isinstance(outcome, Answered) and outcome.body_source is not None:
             return outcome, True
-        return outcome, await self._keep(state, link, outcome)
-
-    async def _await_answer(
-        self, state: EndpointState, link: EndpointLink, rest: RequestBody | None
-    ) -> TryOutcome:
-        if rest is None:
-            return await self._read(state, link)
-        outcome: TryOutcome = Failed(reason='no answer')
-        # Raised out of the task group they would come as a group of exceptions,
-        # pass every handler above and end the process.
+        return outcome, await self._return_to_pool(state, connection, outcome)
+
+    async def _receive_while_streaming(
+        self,
+        state: EndpointState,
+        connection: UpstreamConnection,
+        streamed_body: RequestBody | None,
+    ) -> AttemptOutcome:
+        if streamed_body is None:
+            return await self._read_response(state, connection)
+        outcome: AttemptOutcome = Failed(reason='no response')
+        # The task group would wrap them in an exception group, which no handler above
+        # catches: the process would end.
         failures: list[Exception] = []
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_stream_body, link, rest, failures, tasks.cancel_scope)
+            tasks.start_soon(_stream_body, connection, streamed_body, failures, tasks.cancel_scope)
             try:
-                outcome = await self._read(state, link)
+                outcome = await self._read_response(state, connection)
             except BrokenAnswerError as exc:
                 failures.append(exc)
             tasks.cancel_scope.cancel()
@@ -141,50 +154,65 @@
             raise failures[0]
         return outcome
 
-    async def _read(self, state: EndpointState, link: EndpointLink) -> TryOutcome:
-        head = await link.answer_head()
-        verdict = self._verdict(head)
-        if verdict is not None:
-            return verdict
-        pieces: list[bytes] = []
+    async def _read_response(
+        self, state: EndpointState, connection: UpstreamConnection
+    ) -> AttemptOutcome:
+        head = await connection.read_head()
+        rejection = self._check_head(head)
+        if rejection is not None:
+            return rejection
+        chunks: list[bytes] = []
         size = 0
-        while size < HELD_BYTES:
-            piece = await link.answer_piece()
-            if not piece:
-                body = b''.join(pieces)
-                return Answered(endpoint_id=state.record.id, head=head, body=body, rest=None)
-            pieces.append(piece)
-            size += len(piece)
-        return Answered(endpoint_id=state.record.id, head=head, body=b''.join(pieces), rest=link)
-
-    def _verdict(self, head: AnswerHead) -> TryOutcome | None:
+        while size < MAX_BUFFERED_RESPONSE_BYTES:
+            chunk = await connection.read_chunk()
+            if not chunk:
+                body = b''.join(chunks)
+                return Answered(endpoint_id=state.record.id, head=head, body=body, body_source=None)
+            chunks.append(chunk)
+            size += len(chunk)
+        return Answered(
+            endpoint_id=state.record.id, head=head, body=b''.join(chunks), body_source=connection
+        )
+
+    def _check_head(self, head: ResponseHead) -> AttemptOutcome | None:
         if head.status == _MISDIRECTED:
-            return NotRun(reason='another incarnation', misdirected=True)
-        if find(head.headers, self._names.not_run) is not None:
+            return NotRun(reason='address belongs to another incarnation', misdirected=True)
+        if find_header(head.headers, self._names.not_run) is not None:
             return NotRun(reason=f'refused with {head.status}')
-        if head.status in _PROMISES:
-            # Passed on, it would promise the caller that nothing ran, which
-            # the endpoint did not say.
-            return Failed(reason=f'{head.status} without a word on whether it ran')
+        if head.status in _NOT_RUN_STATUSES:
+            # Passed on, this status would promise the caller that the request did
+            # not run, which the endpoint has not confirmed.
+            return Failed(reason=f'{head.status} without a not-run header')
         signature = self._names.signature
-        if signature and head.status in _SUCCESS and find(head.headers, signature) is None:
-            return Failed(reason='success without a signature')
+        if (
+            signature
+            and head.status in _SUCCESS_STATUSES
+            and find_header(head.headers, signature) is None
+        ):
+            return Failed(reason='success status without a signature header')
         return None
 
-    async def _keep(self, state: EndpointState, link: EndpointLink, outcome: TryOutcome) -> bool:
+    async def _return_to_pool(
+        self, state: EndpointState, connection: UpstreamConnection, outcome: AttemptOutcome
+    ) -> bool:
         if isinstance(outcome, NotRun):
-            await link.skip_body()
+            await connection.discard_body()
         if not isinstance(outcome, Answered | NotRun):
             return False
-        head = outcome.head if isinstance(outcome, Answered) else AnswerHead(status=0, headers=[])
+        head = outcome.head if isinstance(outcome, Answered) else ResponseHead(status=0, headers=[])
         now = anyio.current_time()
-        if not link.reusable(head, now):
+        if not connection.reset_for_reuse(head, now):
             return False
-        await self._pool.give(state.record.incarnation, link)
+        await self._pool.release(state.record.incarnation, connection)
         return True
 
-    def _learn(
-        self, state: EndpointState, outcome: TryOutcome, sending: Sending, *, began: float
+    def _record_outcome(
+        self,
+        state: EndpointState,
+        outcome: AttemptOutcome,
+        endpoint_request: EndpointRequest,
+        *,
+        started_at: float,
     ) -> None:
         now = anyio.current_time()
         if isinstance(outcome, NotSent):
@@ -192,20 +220,25 @@
         elif isinstance(outcome, Failed):
             state.health.note_failed(now)
         elif isinstance(outcome, NotRun):
-            # A full endpoint refuses by right and is not failing.
+            # Refusing is correct for an endpoint at capacity and is not a failure.
             if state.load(now) < state.record.slots:
                 state.health.note_failed(now)
         else:
-            state.note_answer(now - began, now)
-            state.note_work(sending.key, now - began, now, had_room=sending.had_room)
-            self._learn_answer(state, outcome, now)
+            state.note_answer(now - started_at, now)
+            state.note_work(
+                endpoint_request.affinity_key,
+                now - started_at,
+                now,
+                had_room=endpoint_request.had_room,
+            )
+            self._record_response(state, outcome, now)
 
-    def _learn_answer(self, state: EndpointState, outcome: Answered, now: float) -> None:
+    def _record_response(self, state: EndpointState, outcome: Answered, now: float) -> None:
         if outcome.head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             state.health.note_failed(now)
         else:
             state.health.note_good(now)
-        reported = find(outcome.head.headers, self._names.load)
+        reported = find_header(outcome.head.headers, self._names.load)
         if reported is None:
             return
         counts = reported.split(b',')
@@ -214,25 +247,25 @@
 
 
 async def _stream_body(
-    link: EndpointLink,
+    connection: UpstreamConnection,
     body: RequestBody,
     failures: list[Exception],
-    reading: anyio.CancelScope,
+    read_scope: anyio.CancelScope,
 ) -> None:
-    """Send the body; one that is too long ends the ``reading`` of an answer."""
+    """Send the body; cancel ``read_scope`` if the body exceeds its limit."""
     try:
-        await _send_pieces(link, body)
+        await _send_chunks(connection, body)
     except BodyTooLargeError as exc:
         failures.append(exc)
-        reading.cancel()
+        read_scope.cancel()
     except SEND_ERRORS as exc:
-        # The endpoint may have answered before it read all.
-        log.debug('Sender: the body was not taken whole (%s).', exc)
+        # The endpoint may have responded before it read the whole body.
+        log.debug('Sender: endpoint did not read the whole body: %s', exc)
 
 
-async def _send_pieces(link: EndpointLink, body: RequestBody) -> None:
+async def _send_chunks(connection: UpstreamConnection, body: RequestBody) -> None:
     while True:
-        piece = await body.read()
-        await link.send_body(piece)
-        if not piece:
+        chunk = await body.read()
+        await connection.send_body(chunk)
+        if not chunk:
             return
--- a/packages/node/src/plantainloft_node/engine/whole_answers.py
+++ b/packages/node/src/plantainloft_node/engine/whole_answers.py
@@ -1,4 +1,4 @@
-"""Ask servers for whole answers over kept connections."""
+"""A client for requests whose complete responses are buffered in memory."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 from plantainloft_node.engine.attempts import Failed, NotSent
 from plantainloft_node.engine.endpoint_link import (
     SEND_ERRORS,
-    AnswerHead,
     BrokenAnswerError,
-    EndpointLink,
     OutgoingRequest,
+    ResponseHead,
+    UpstreamConnection,
     connect,
 )
 from plantainloft_node.engine.pool import LinkPool
@@ -20,53 +20,55 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WholeAnswer:
-    """An answer with all of its body."""
+    """A response with its complete body."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
 class LinkClient:
-    """Sends requests to servers by their addresses (``host:port``).
+    """Sends requests to servers by address (``host:port``), over pooled connections.
 
-    The caller bounds the time; when it gives up, the connection is closed,
-    so that no late answer meets the next request.
+    The caller sets the time limit. When it cancels, the connection is closed, so that
+    a late response cannot be taken for that of the next request.
     """
 
     def __init__(self) -> None:
         self._pool = LinkPool()
 
     async def ask(self, address: str, request: OutgoingRequest) -> WholeAnswer | NotSent | Failed:
-        """Return the answer, or whether the request can have arrived."""
-        link = await self._pool.take(address, anyio.current_time())
-        if link is None:
+        """Return the response, or whether the request may have arrived."""
+        connection = await self._pool.acquire(address, anyio.current_time())
+        if connection is None:
             try:
-                link = await connect(address)
+                connection = await connect(address)
             except OSError as exc:
                 return NotSent(reason=type(exc).__name__)
         kept = False
         try:
-            answer, kept = await _converse(link, request)
+            response, kept = await _send_and_receive(connection, request)
         except SEND_ERRORS as exc:
             return Failed(reason=type(exc).__name__, broke=True)
         except BrokenAnswerError as exc:
             return Failed(reason=exc.reason, broke=True)
         finally:
             if not kept:
-                await link.close()
+                await connection.close()
         if kept:
-            await self._pool.give(address, link)
-        return answer
+            await self._pool.release(address, connection)
+        return response
 
 
-async def _converse(link: EndpointLink, request: OutgoingRequest) -> tuple[WholeAnswer, bool]:
-    """Return the answer, and whether the link may carry another request."""
-    await link.send(request)
-    head = await link.answer_head()
-    pieces = []
-    piece = await link.answer_piece()
-    while piece:
-        pieces.append(piece)
-        piece = await link.answer_piece()
-    answer = WholeAnswer(head=head, body=b''.join(pieces))
-    return answer, link.reusable(head, anyio.current_time())
+async def _send_and_receive(
+    connection: UpstreamConnection, request: OutgoingRequest
+) -> tuple[WholeAnswer, bool]:
+    """Return the response, and whether the connection can be reused."""
+    await connection.send(request)
+    head = await connection.read_head()
+    chunks = []
+    chunk = await connection.read_chunk()
+    while chunk:
+        chunks.append(chunk)
+        chunk = await connection.read_chunk()
+    response = WholeAnswer(head=head, body=b''.join(chunks))
+    return response, connection.reset_for_reuse(head, anyio.current_time())
