--- a/packages/node/src/plantainloft_node/quarantine/__init__.py
+++ b/packages/node/src/plantainloft_node/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the endpoints that run them: known, counted, shut out."""
+"""Detects requests that crash endpoints, counts the crashes and quarantines the requests."""
--- a/packages/node/src/plantainloft_node/quarantine/crash_book.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_book.py
@@ -1,10 +1,13 @@
-"""Which requests crashed endpoints, as all instances together know it.
+"""Endpoint crashes by request, replicated between all instances.
 
-Every request under way on an endpoint that ends is counted, the innocent too. A
-request that crashes each endpoint that runs it is never answered, so an answer
-clears whoever asked the same, and an earlier one speaks for it. Crashes and
-clearances only ever add up: instances may hear of them in any order, twice, or by
-several ways.
+When an endpoint crashes, a crash is counted against every request in progress on
+it, including those that did not cause the crash. A request that crashes every
+endpoint is never answered. An answer therefore exempts the request from crashes
+that were counted before, and reduces the weight of crashes shortly after it.
+
+Crashes and exemptions are only ever added and merging them is commutative and
+idempotent: instances may receive reports in any order, repeatedly and over several
+paths.
 """
 
 from collections.abc import Iterable
@@ -12,254 +15,279 @@
 
 from plantainloft_node.placing.affinity import score
 from plantainloft_node.quarantine.crashes import (
-    MEMORY_S,
+    CRASH_RETENTION_S,
     QUARANTINE_CRASHES,
-    Clearance,
     Crash,
-    CrashByRun,
+    CrashesByKey,
+    CrashKey,
     CrashReport,
-    Run,
-    Standing,
-    most_weight,
-    standing_of,
+    CrashSummary,
+    Exemption,
+    max_weight,
+    summarise_crashes,
 )
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
 from plantainloft_node.quarantine.recent_answers import RecentAnswers
 
-__all__ = ['MAX_CRASHES_OF_REQUEST', 'MAX_REPORTED', 'CrashBook']
+__all__ = ['MAX_CRASHES_PER_REPORT', 'MAX_CRASHES_PER_REQUEST', 'CrashBook']
 
 MAX_REQUESTS = 1024
-MAX_CRASHES_OF_REQUEST = 16
-# News are in every report for this time: lost datagrams are made up for, and
-# those who pass them on have heard.
-SPREAD_S = 5.0
-MAX_REPORTED = 16
-# What has been quarantined for longer takes turns in the remainder.
-MAX_FRESH_REPORTED = 10
-MAX_REPORTED_OF_REQUEST = 6
-# A first crash under a request is spread at once only so often: when a zone is
-# killed, each request under way there has one.
-REPEATED_WEIGHT = 2
-FIRST_SPREAD_EVERY_S = 1.0
-SWEEP_EVERY_S = 10.0
-_UNKNOWN = Standing(0, 0.0, float('-inf'))
-
-
-class _Fresh(NamedTuple):
-    """News to report, and the weight of the crashes under the request."""
+MAX_CRASHES_PER_REQUEST = 16
+# A change stays in every report for this long, so that it survives lost datagrams
+# and reaches the instances that relay reports.
+RECENT_CHANGE_S = 5.0
+MAX_CRASHES_PER_REPORT = 16
+# The remaining space of a report is used, in rotation, for requests that were
+# quarantined earlier.
+MAX_RECENT_PER_REPORT = 10
+MAX_OLDER_PER_REQUEST = 6
+# Changes to requests with at least this weight are broadcast immediately.
+URGENT_WEIGHT = 2
+# The first crash of a request is broadcast immediately at most this often: when an
+# availability zone is killed, every request in progress there gets a first crash.
+FIRST_CRASH_BROADCAST_INTERVAL_S = 1.0
+EXPIRY_INTERVAL_S = 10.0
+_NO_CRASHES = CrashSummary(0, 0.0, float('-inf'))
+
+
+class _RecentChange(NamedTuple):
+    """A changed crash to report and the weight of all crashes of its request."""
 
     weight: float
-    news_at: float
+    changed_at: float
     report: CrashReport
 
 
 class CrashBook:
-    """Crashes by request, seen here or reported by others."""
+    """Crashes by request, detected locally or reported by other instances."""
 
     def __init__(self) -> None:
-        self._crashes_by_content: dict[bytes, CrashByRun] = {}
-        # Only these are looked at for reports.
-        self._fresh_until: dict[bytes, float] = {}
+        self._crashes_by_content: dict[bytes, CrashesByKey] = {}
+        # Reports search only these requests for recent changes.
+        self._recent_until_by_content: dict[bytes, float] = {}
         self._quarantined: set[bytes] = set()
-        self._turn = 0
-        self._swept_at = float('-inf')
-        self._first_spread_at = float('-inf')
-        self._answered = RecentAnswers()
+        self._rotation_index = 0
+        self._last_expiry_at = float('-inf')
+        self._first_crash_broadcast_at = float('-inf')
+        self._recent_answers = RecentAnswers()
 
     def __len__(self) -> int:
-        """Return the number of different requests kept."""
+        """Return the number of distinct requests with recorded crashes."""
         return len(self._crashes_by_content)
 
-    def note_crash(self, request: RequestFingerprint, incarnation: str, now: float) -> Standing:
-        """Count that an endpoint ended while it ran ``request``."""
-        run = Run(request.caller, score('crash', incarnation))
-        self._add(request.content, run, at=now, clearance=Clearance.NOBODY, now=now)
+    def note_crash(self, request: RequestFingerprint, incarnation: str, now: float) -> CrashSummary:
+        """Record that an endpoint crashed while it ran ``request``."""
+        key = CrashKey(request.caller, score('crash', incarnation))
+        self._add(request.content, key, crashed_at=now, exemption=Exemption.NONE, now=now)
         return self.standing(request, now)
 
     def note_answered(self, request: RequestFingerprint, now: float) -> bool:
-        """Clear ``request``; return whether anything counted against it."""
-        self._answered.note(request, now)
-        cleared = False
-        for run, crash in self._crashes_by_content.get(request.content, {}).items():
-            is_own = run.caller == request.caller
-            clearance = Clearance.EVERYBODY if is_own else Clearance.OTHER_CALLERS
-            if clearance & ~crash.clearance:
-                cleared = crash.clear(clearance | crash.clearance, now)
-        if cleared:
-            self._note_news(request.content, now)
-        return cleared
+        """Record an answer to ``request``; return whether it exempts any recorded crash."""
+        self._recent_answers.record(request, now)
+        changed = False
+        for key, crash in self._crashes_by_content.get(request.content, {}).items():
+            is_own = key.caller == request.caller
+            exemption = Exemption.ALL_CALLERS if is_own else Exemption.OTHER_CALLERS
+            if exemption & ~crash.exemption:
+                changed = crash.add_exemption(exemption | crash.exemption, now)
+        if changed:
+            self._mark_changed(request.content, now)
+        return changed
 
     def lift(self, request: RequestFingerprint, now: float) -> bool:
-        """Clear ``request`` whoever asks it; return whether anything counted."""
+        """Exempt ``request`` for all callers; return whether any crash counted against it."""
         lifted = False
         for crash in self._crashes_by_content.get(request.content, {}).values():
-            lifted = crash.clear(Clearance.EVERYBODY | crash.clearance, now) or lifted
+            lifted = crash.add_exemption(Exemption.ALL_CALLERS | crash.exemption, now) or lifted
         if lifted:
-            self._note_news(request.content, now)
+            self._mark_changed(request.content, now)
         return lifted
 
-    def standing(self, request: RequestFingerprint, now: float) -> Standing:
-        """Return what counts against ``request``."""
+    def standing(self, request: RequestFingerprint, now: float) -> CrashSummary:
+        """Return the crashes that count against ``request``."""
         crashes = self._crashes_by_content.get(request.content)
         if crashes is None:
-            return _UNKNOWN
-        _expire(crashes, now)
-        return standing_of(request.caller, crashes)
+            return _NO_CRASHES
+        _drop_expired(crashes, now)
+        return summarise_crashes(request.caller, crashes)
 
     def is_urgent(self, weight: float, now: float) -> bool:
-        """Return whether news on a request of ``weight`` are spread at once."""
-        if weight >= REPEATED_WEIGHT:
+        """Return whether to broadcast a change to a request of ``weight`` immediately.
+
+        A ``True`` for a first crash delays the next one, see
+        ``FIRST_CRASH_BROADCAST_INTERVAL_S``.
+        """
+        if weight >= URGENT_WEIGHT:
             return True
-        if now - self._first_spread_at < FIRST_SPREAD_EVERY_S:
+        if now - self._first_crash_broadcast_at < FIRST_CRASH_BROADCAST_INTERVAL_S:
             return False
-        self._first_spread_at = now
+        self._first_crash_broadcast_at = now
         return True
 
-    def quarantined(self, now: float) -> dict[RequestFingerprint, Standing]:
-        """Return the requests that are sent to no endpoint."""
+    def quarantined(self, now: float) -> dict[RequestFingerprint, CrashSummary]:
+        """Return the quarantined requests."""
         requests = {
-            RequestFingerprint(content, run.caller)
+            RequestFingerprint(content, key.caller)
             for content, crashes in self._crashes_by_content.items()
-            for run in crashes
+            for key in crashes
+        }
+        summaries = {request: self.standing(request, now) for request in requests}
+        return {
+            request: summary for request, summary in summaries.items() if summary.is_quarantined
         }
-        standings = {request: self.standing(request, now) for request in requests}
-        return {one: standing for one, standing in standings.items() if standing.is_quarantined}
 
     def reports_of(self, content: bytes, now: float) -> list[CrashReport]:
-        """Return all crashes under requests of ``content``."""
+        """Return all recorded crashes of requests with ``content``, from any caller."""
         crashes = self._crashes_by_content.get(content, {})
-        return [_report(content, run, crash, now) for run, crash in crashes.items()]
+        return [_build_report(content, key, crash, now) for key, crash in crashes.items()]
 
     def reports(self, now: float) -> list[CrashReport]:
-        """Return what to report to the others now, a bounded number of crashes."""
-        self._fresh_until = {
-            content: until for content, until in self._fresh_until.items() if until > now
+        """Return the crashes for the next report to other instances.
+
+        Returns at most ``MAX_CRASHES_PER_REPORT`` and advances the rotation of the
+        older ones.
+        """
+        self._recent_until_by_content = {
+            content: until
+            for content, until in self._recent_until_by_content.items()
+            if until > now
         }
-        fresh: list[_Fresh] = []
-        for content in self._fresh_until:
+        recent_changes: list[_RecentChange] = []
+        for content in self._recent_until_by_content:
             crashes = self._crashes_by_content.get(content, {})
-            weight = most_weight(crashes)
-            fresh += [
-                _Fresh(weight, crash.news_at, _report(content, run, crash, now))
-                for run, crash in crashes.items()
-                if now - crash.news_at < SPREAD_S
+            weight = max_weight(crashes)
+            recent_changes += [
+                _RecentChange(weight, crash.changed_at, _build_report(content, key, crash, now))
+                for key, crash in crashes.items()
+                if now - crash.changed_at < RECENT_CHANGE_S
             ]
-        most_urgent = sorted(fresh, key=_urgency, reverse=True)[:MAX_FRESH_REPORTED]
-        newest = [one.report for one in most_urgent]
-        return newest + self._lasting(now, room=MAX_REPORTED - len(newest))
+        most_urgent = sorted(recent_changes, key=_priority, reverse=True)[:MAX_RECENT_PER_REPORT]
+        recent_reports = [change.report for change in most_urgent]
+        return recent_reports + self._next_older_reports(
+            now, max_reports=MAX_CRASHES_PER_REPORT - len(recent_reports)
+        )
 
     def merge(self, reports: Iterable[CrashReport], now: float, *, held_s: float = 0.0) -> bool:
-        """Take others' reports; return whether others should hear of it at once.
+        """Merge reports of other instances; return whether to broadcast the changes now.
 
-        ``held_s``: for how long they were on their way, in seconds.
+        ``held_s`` is the age of the reports in seconds, which adds to the age of
+        each crash.
         """
         is_urgent = False
         for report in reports:
             content = report.request.content
-            run = Run(report.request.caller, report.endpoint)
-            at = now - report.age_s - held_s
+            key = CrashKey(report.request.caller, report.endpoint)
+            crashed_at = now - report.age_s - held_s
             was_quarantined = content in self._quarantined
-            if self._add(content, run, at=at, clearance=report.clearance, now=now):
-                weight = most_weight(self._crashes_by_content.get(content, {}))
+            if self._add(content, key, crashed_at=crashed_at, exemption=report.exemption, now=now):
+                weight = max_weight(self._crashes_by_content.get(content, {}))
                 is_urgent |= was_quarantined or self.is_urgent(weight, now)
         return is_urgent
 
     def forget_old(self, now: float) -> None:
-        """Let go of crashes that no longer count."""
-        if now - self._swept_at < SWEEP_EVERY_S:
+        """Delete expired crashes, at most once per ``EXPIRY_INTERVAL_S``."""
+        if now - self._last_expiry_at < EXPIRY_INTERVAL_S:
             return
-        self._swept_at = now
+        self._last_expiry_at = now
         for crashes in self._crashes_by_content.values():
-            _expire(crashes, now)
+            _drop_expired(crashes, now)
         self._crashes_by_content = {
             content: crashes for content, crashes in self._crashes_by_content.items() if crashes
         }
         self._quarantined &= self._crashes_by_content.keys()
 
     def _add(
-        self, content: bytes, run: Run, *, at: float, clearance: Clearance, now: float
+        self, content: bytes, key: CrashKey, *, crashed_at: float, exemption: Exemption, now: float
     ) -> bool:
-        if now - at >= MEMORY_S:
+        if now - crashed_at >= CRASH_RETENTION_S:
             return False
-        clearance |= self._answered.clearance(RequestFingerprint(content, run.caller), at)
+        exemption |= self._recent_answers.exemption(
+            RequestFingerprint(content, key.caller), crashed_at
+        )
         crashes = self._crashes_by_content.setdefault(content, {})
-        known = crashes.get(run)
-        if known is None:
-            crashes[run] = Crash(at=at, clearance=clearance, now=now)
-            _bound(crashes)
-            is_news = run in crashes
+        existing = crashes.get(key)
+        if existing is None:
+            crashes[key] = Crash(crashed_at=crashed_at, exemption=exemption, now=now)
+            _drop_oldest_excess(crashes)
+            is_change = key in crashes
         else:
-            is_news = known.clear(clearance, now)
-        is_behind = known is not None and clearance != known.clearance
-        if is_news or is_behind:
-            self._note_news(content, now)
+            is_change = existing.add_exemption(exemption, now)
+        reporter_is_outdated = existing is not None and exemption != existing.exemption
+        if is_change or reporter_is_outdated:
+            self._mark_changed(content, now)
         if len(self._crashes_by_content) > MAX_REQUESTS:
             self._evict()
-        return is_news
+        return is_change
 
-    def _note_news(self, content: bytes, now: float) -> None:
-        self._fresh_until[content] = now + SPREAD_S
+    def _mark_changed(self, content: bytes, now: float) -> None:
+        self._recent_until_by_content[content] = now + RECENT_CHANGE_S
         crashes = self._crashes_by_content[content]
-        if most_weight(crashes) >= QUARANTINE_CRASHES:
+        if max_weight(crashes) >= QUARANTINE_CRASHES:
             self._quarantined.add(content)
         else:
             self._quarantined.discard(content)
 
     def _evict(self) -> None:
-        """Let go of the request that fewest crashes count against, the oldest first."""
+        """Delete the request with the lowest weight, among equals the oldest."""
 
         def rank(content: bytes) -> tuple[float, float]:
             crashes = self._crashes_by_content[content]
-            # Its crashes may have expired since the last sweep.
-            newest_at = max((one.at for one in crashes.values()), default=float('-inf'))
-            return most_weight(crashes), newest_at
+            # Empty if its crashes have expired and ``forget_old`` has not run since.
+            last_crash_at = max(
+                (crash.crashed_at for crash in crashes.values()), default=float('-inf')
+            )
+            return max_weight(crashes), last_crash_at
 
         evicted = min(self._crashes_by_content, key=rank)
         self._crashes_by_content.pop(evicted)
         self._quarantined.discard(evicted)
 
-    def _lasting(self, now: float, *, room: int) -> list[CrashReport]:
-        """Return the crashes of those quarantined requests whose turn it is."""
+    def _next_older_reports(self, now: float, *, max_reports: int) -> list[CrashReport]:
+        """Return older crashes of the next quarantined requests in the rotation.
+
+        Stops at the first request whose crashes no longer fit into ``max_reports``.
+        """
         contents = sorted(self._quarantined)
         reported: list[CrashReport] = []
         for _ in contents:
-            content = contents[self._turn % len(contents)]
-            reports = self._lasting_of(content, now)
-            if len(reported) + len(reports) > room:
+            content = contents[self._rotation_index % len(contents)]
+            reports = self._older_reports_of(content, now)
+            if len(reported) + len(reports) > max_reports:
                 break
             reported += reports
-            self._turn += 1
+            self._rotation_index += 1
         return reported
 
-    def _lasting_of(self, content: bytes, now: float) -> list[CrashReport]:
+    def _older_reports_of(self, content: bytes, now: float) -> list[CrashReport]:
         reports = [
-            _report(content, run, crash, now)
-            for run, crash in self._crashes_by_content[content].items()
-            if now - crash.news_at >= SPREAD_S and not crash.clearance & Clearance.EVERYBODY
+            _build_report(content, key, crash, now)
+            for key, crash in self._crashes_by_content[content].items()
+            if now - crash.changed_at >= RECENT_CHANGE_S
+            and not crash.exemption & Exemption.ALL_CALLERS
         ]
-        return sorted(reports, key=_age)[:MAX_REPORTED_OF_REQUEST]
+        return sorted(reports, key=_age)[:MAX_OLDER_PER_REQUEST]
 
 
-def _bound(crashes: CrashByRun) -> None:
-    """Keep the newest crashes under a request."""
-    if len(crashes) > MAX_CRASHES_OF_REQUEST:
-        crashes.pop(min(crashes, key=lambda one: crashes[one].at))
+def _drop_oldest_excess(crashes: CrashesByKey) -> None:
+    """Keep only the newest crashes of a request."""
+    if len(crashes) > MAX_CRASHES_PER_REQUEST:
+        crashes.pop(min(crashes, key=lambda key: crashes[key].crashed_at))
 
 
-def _expire(crashes: CrashByRun, now: float) -> None:
-    expired = [run for run, crash in crashes.items() if now - crash.at >= MEMORY_S]
-    for run in expired:
-        crashes.pop(run)
+def _drop_expired(crashes: CrashesByKey, now: float) -> None:
+    expired = [key for key, crash in crashes.items() if now - crash.crashed_at >= CRASH_RETENTION_S]
+    for key in expired:
+        crashes.pop(key)
 
 
 def _age(report: CrashReport) -> float:
     return report.age_s
 
 
-def _urgency(fresh: _Fresh) -> tuple[float, float]:
-    return fresh.weight, fresh.news_at
+def _priority(change: _RecentChange) -> tuple[float, float]:
+    return change.weight, change.changed_at
 
 
-def _report(content: bytes, run: Run, crash: Crash, now: float) -> CrashReport:
-    request = RequestFingerprint(content, run.caller)
-    return CrashReport(request, run.endpoint, max(0.0, now - crash.at), crash.clearance)
+def _build_report(content: bytes, key: CrashKey, crash: Crash, now: float) -> CrashReport:
+    request = RequestFingerprint(content, key.caller)
+    return CrashReport(request, key.endpoint, max(0.0, now - crash.crashed_at), crash.exemption)
--- a/packages/node/src/plantainloft_node/quarantine/crash_checks.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_checks.py
@@ -1,7 +1,7 @@
-"""Whether an endpoint ended when a connection to it broke.
+"""Detects endpoint crashes after broken connections.
 
-A connection also breaks where an answer is lost or connections are reset. An
-endpoint that ended accepts no further one.
+A connection can also break because an answer was lost or the connection was reset.
+An endpoint counts as crashed only if it accepts no new connection.
 """
 
 import logging
@@ -17,14 +17,14 @@
 
 log = logging.getLogger(__name__)
 
-# One check answers for all runs that broke at an endpoint in this time.
-SAME_CRASH_S = 1.0
-MAX_WAITING = 1024
-CHECKERS = 8
+# A check is reused for all connections to an endpoint that break within this time.
+CHECK_REUSE_S = 1.0
+MAX_QUEUED_CHECKS = 1024
+CHECK_WORKERS = 8
 
 
 class EndpointRun(NamedTuple):
-    """A request at an endpoint, where it may run."""
+    """A request that was sent to an endpoint and may have run there."""
 
     request: RequestFingerprint
     request_id: str
@@ -33,83 +33,83 @@
 
 
 class CrashChecks:
-    """Checks endpoints whose connections broke, and reports the crashes."""
+    """Checks endpoints whose connections broke and reports crashes."""
 
     def __init__(self, *, on_crash: Callable[[EndpointRun, float], None]) -> None:
-        """``on_crash`` takes a run under which its endpoint ended, and the time."""
+        """``on_crash`` is called with each run whose endpoint crashed and the time."""
         self._on_crash = on_crash
-        ends = anyio.create_memory_object_stream[EndpointRun](MAX_WAITING)
-        self._send = ends[0]
-        self._receive = ends[1]
+        streams = anyio.create_memory_object_stream[EndpointRun](MAX_QUEUED_CHECKS)
+        self._send_stream = streams[0]
+        self._receive_stream = streams[1]
         self._check_by_incarnation: dict[str, _Check] = {}
 
     def note_broken(self, run: EndpointRun) -> None:
-        """Have the endpoint of ``run`` checked."""
+        """Queue a check of the endpoint of ``run``, whose connection broke."""
         try:
-            self._send.send_nowait(run)
+            self._send_stream.send_nowait(run)
         except anyio.WouldBlock:
-            log.warning('Crash check: too many wait.', extra={'kind': 'crash_check'})
+            log.warning('Crash check: queue is full, check skipped.', extra={'kind': 'crash_check'})
 
     async def run(self) -> None:
-        """Check until cancelled."""
+        """Process queued checks until cancelled."""
         async with anyio.create_task_group() as tasks:
-            for _ in range(CHECKERS):
-                tasks.start_soon(self._work)
+            for _ in range(CHECK_WORKERS):
+                tasks.start_soon(self._check_queued)
 
-    async def _work(self) -> None:
-        async for run in self._receive:
-            ended = await self._ended(run)
+    async def _check_queued(self) -> None:
+        async for run in self._receive_stream:
+            crashed = await self._has_crashed(run)
             now = anyio.current_time()
             fields = {
                 'request': run.request_id,
                 'fingerprint': str(run.request),
                 'endpoint': run.incarnation,
-                'ended': ended,
+                'ended': crashed,
             }
             log.info(
-                'Endpoint %s %s when a connection to it broke.',
+                'Crash check: endpoint %s %s after a broken connection.',
                 run.incarnation,
-                'ended' if ended else 'lives on',
+                'has crashed' if crashed else 'is running',
                 extra={'kind': 'crash_check', 'fields': fields},
             )
-            if ended:
+            if crashed:
                 self._on_crash(run, now)
 
-    async def _ended(self, run: EndpointRun) -> bool:
+    async def _has_crashed(self, run: EndpointRun) -> bool:
         now = anyio.current_time()
         check = self._check_by_incarnation.get(run.incarnation)
-        if check is None or now - check.at >= SAME_CRASH_S:
-            self._forget_old(now)
-            check = _Check(at=now)
+        if check is None or now - check.started_at >= CHECK_REUSE_S:
+            self._drop_old_checks(now)
+            check = _Check(started_at=now)
             self._check_by_incarnation[run.incarnation] = check
-            check.ended = not await _accepts(run.address)
+            check.crashed = not await _accepts_connections(run.address)
             check.done.set()
         await check.done.wait()
-        return check.ended
+        return check.crashed
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_old_checks(self, now: float) -> None:
         self._check_by_incarnation = {
             incarnation: check
             for incarnation, check in self._check_by_incarnation.items()
-            if now - check.at < SAME_CRASH_S
+            if now - check.started_at < CHECK_REUSE_S
         }
 
 
 class _Check:
-    def __init__(self, *, at: float) -> None:
-        self.at = at
-        self.ended = False
+    def __init__(self, *, started_at: float) -> None:
+        self.started_at = started_at
+        self.crashed = False
         self.done = anyio.Event()
 
 
-async def _accepts(address: str) -> bool:
-    link = None
+async def _accepts_connections(address: str) -> bool:
+    connection = None
     with anyio.move_on_after(CONNECT_S):
         try:
-            link = await connect(address)
+            connection = await connect(address)
         except OSError:
             return False
-    if link is None:
+    if connection is None:
         return False
-    await link.close()
+    await connection.close()
     return True
--- a/packages/node/src/plantainloft_node/quarantine/crash_codec.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_codec.py
@@ -1,10 +1,10 @@
-"""Crash reports as bytes, and read back strictly."""
+"""Binary encoding of crash reports; decoding rejects malformed input."""
 
 import struct
 from collections.abc import Iterable
 
-from plantainloft_node.quarantine.crash_book import MAX_REPORTED
-from plantainloft_node.quarantine.crashes import Clearance, CrashReport
+from plantainloft_node.quarantine.crash_book import MAX_CRASHES_PER_REPORT
+from plantainloft_node.quarantine.crashes import CrashReport, Exemption
 from plantainloft_node.quarantine.fingerprints import (
     CALLER_BYTES,
     CONTENT_BYTES,
@@ -13,35 +13,42 @@
 
 __all__ = ['CRASH_BYTES', 'pack_crashes', 'unpack_crashes']
 
-_CRASH = struct.Struct(f'<{CONTENT_BYTES}s{CALLER_BYTES}sIHB')
-CRASH_BYTES = _CRASH.size
+_CRASH_STRUCT = struct.Struct(f'<{CONTENT_BYTES}s{CALLER_BYTES}sIHB')
+CRASH_BYTES = _CRASH_STRUCT.size
 _MAX_AGE_S = 65535
 
 
 def pack_crashes(reports: Iterable[CrashReport]) -> bytes:
-    """Return the bytes of ``reports``; ages are rounded to whole seconds."""
+    """Encode ``reports``; ages are rounded to whole seconds."""
     return b''.join(
-        _CRASH.pack(*one.request, one.endpoint, min(_MAX_AGE_S, round(one.age_s)), one.clearance)
-        for one in reports
+        _CRASH_STRUCT.pack(
+            *report.request,
+            report.endpoint,
+            min(_MAX_AGE_S, round(report.age_s)),
+            report.exemption,
+        )
+        for report in reports
     )
 
 
-def unpack_crashes(packed: bytes, *, most: int = MAX_REPORTED) -> tuple[CrashReport, ...]:
-    """Return the reports in ``packed``; raises ``ValueError`` or ``struct.error``."""
-    if len(packed) > most * CRASH_BYTES:
-        raise ValueError('too many crashes')
+def unpack_crashes(
+    packed: bytes, *, max_crashes: int = MAX_CRASHES_PER_REPORT
+) -> tuple[CrashReport, ...]:
+    """Decode ``packed``; raises ``ValueError`` or ``struct.error`` if it is malformed."""
+    if len(packed) > max_crashes * CRASH_BYTES:
+        raise ValueError(f'{len(packed)} bytes exceed the limit of {max_crashes} crashes')
     return tuple(
         CrashReport(
             request=RequestFingerprint(content, caller),
             endpoint=endpoint,
             age_s=float(age_s),
-            clearance=_clearance(clearance),
+            exemption=_parse_exemption(exemption),
         )
-        for content, caller, endpoint, age_s, clearance in _CRASH.iter_unpack(packed)
+        for content, caller, endpoint, age_s, exemption in _CRASH_STRUCT.iter_unpack(packed)
     )
 
 
-def _clearance(flags: int) -> Clearance:
-    if flags >= 2 * Clearance.EVERYBODY:
-        raise ValueError('an unknown clearance')
-    return Clearance(flags)
+def _parse_exemption(flags: int) -> Exemption:
+    if flags >= 2 * Exemption.ALL_CALLERS:
+        raise ValueError(f'unknown exemption flags {flags:#x}')
+    return Exemption(flags)
--- a/packages/node/src/plantainloft_node/quarantine/crashes.py
+++ b/packages/node/src/plantainloft_node/quarantine/crashes.py
@@ -1,4 +1,4 @@
-"""How much crashes count against a request, and what answers say for it."""
+"""Crashes of a request, and how much they weigh after exemptions."""
 
 from enum import IntFlag
 from typing import NamedTuple
@@ -6,149 +6,153 @@
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
 
 __all__ = [
-    'MEMORY_S',
+    'CRASH_RETENTION_S',
     'QUARANTINE_CRASHES',
-    'Clearance',
     'Crash',
-    'CrashByRun',
+    'CrashKey',
     'CrashReport',
-    'Run',
-    'Standing',
-    'most_weight',
-    'standing_of',
+    'CrashSummary',
+    'CrashesByKey',
+    'Exemption',
+    'max_weight',
+    'summarise_crashes',
 ]
 
-# A request under which so many endpoints ended is sent to none any more.
+# A request is quarantined once its crashes reach this weight.
 QUARANTINE_CRASHES = 3
-# A quarantined request is tried once more after this time, which doubles with
-# each further crash.
+# Delay before a quarantined request gets one trial; doubles with each further crash.
 HOLD_S = 30.0
-MEMORY_S = 3600.0
+CRASH_RETENTION_S = 3600.0
 ANSWERED_BEFORE_WEIGHT = 0.5
 _NEVER = float('-inf')
 
 
-class Clearance(IntFlag):
-    """What answers say of a crash.
+class Exemption(IntFlag):
+    """Which callers a crash does not count against, as a result of answers.
 
-    ``ANSWERED_BEFORE``: its caller was answered the same a while before; it may
-    have begun to crash endpoints since, so the crash counts half.
-    ``OTHER_CALLERS``: others are answered, so it counts against its caller only.
-    ``EVERYBODY``: its caller was answered since; it counts against nobody.
+    ``ANSWERED_BEFORE``: the caller received an answer to the same request shortly
+    before the crash. The request may have become fatal since, so the crash counts
+    half.
+    ``OTHER_CALLERS``: other callers received an answer to the same request, so the
+    crash counts only against its own caller.
+    ``ALL_CALLERS``: the caller received an answer after the crash, so the crash
+    counts against nobody.
     """
 
-    NOBODY = 0
+    NONE = 0
     ANSWERED_BEFORE = 1
     OTHER_CALLERS = 2
-    EVERYBODY = 4
+    ALL_CALLERS = 4
 
 
 class CrashReport(NamedTuple):
     """A crash as instances report it to each other.
 
-    ``endpoint`` stands for the incarnation that ended, ``age_s`` seconds ago.
+    ``endpoint`` is a hash of the incarnation that crashed, ``age_s`` seconds ago.
     """
 
     request: RequestFingerprint
     endpoint: int
     age_s: float
-    clearance: Clearance
+    exemption: Exemption
 
 
-class Standing(NamedTuple):
-    """How many endpoints ended under a request, and when the last of them did.
+class CrashSummary(NamedTuple):
+    """The crashes that count against a request: number, weight and latest time.
 
-    ``weight`` counts half of those where an earlier answer speaks for it.
+    Each crash adds 1 to ``weight``, or 0.5 if the request was answered shortly
+    before, see ``Exemption.ANSWERED_BEFORE``.
     """
 
     crashes: int
     weight: float
-    newest_at: float
+    last_crash_at: float
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether the request is sent to no endpoint."""
+        """Whether the request must not be sent to any endpoint."""
         return self.weight >= QUARANTINE_CRASHES
 
     @property
-    def hold_s(self) -> float:
-        """For how long after the last crash it is not tried again."""
+    def trial_delay_s(self) -> float:
+        """Seconds from the last crash to the next trial."""
         doublings = max(0, int(self.weight) - QUARANTINE_CRASHES)
-        return float(min(MEMORY_S, HOLD_S * 2**doublings))
+        return float(min(CRASH_RETENTION_S, HOLD_S * 2**doublings))
 
-    def may_be_tried(self, now: float) -> bool:
-        """Return whether the hold is over."""
-        return now - self.newest_at >= self.hold_s
+    def is_trial_due(self, now: float) -> bool:
+        """Return whether the delay since the last crash is over."""
+        return now - self.last_crash_at >= self.trial_delay_s
 
 
-class Run(NamedTuple):
-    """Who asked, and the endpoint that ended."""
+class CrashKey(NamedTuple):
+    """The caller of the request and a hash of the endpoint incarnation that crashed."""
 
     caller: bytes
     endpoint: int
 
 
 class Crash:
-    """A crash under a run: when it was, and what answers say of it."""
+    """The time of a crash, its exemption and the time of the last change to it."""
 
-    def __init__(self, *, at: float, clearance: Clearance, now: float) -> None:
-        self.at = at
-        self.clearance = clearance
-        self.news_at = now
+    def __init__(self, *, crashed_at: float, exemption: Exemption, now: float) -> None:
+        self.crashed_at = crashed_at
+        self.exemption = exemption
+        self.changed_at = now
 
-    def clear(self, clearance: Clearance, now: float) -> bool:
-        """Add a clearance; return whether it adds to what was known."""
-        is_news = bool(clearance & ~self.clearance)
-        if clearance != self.clearance:
-            # Whoever reports less has not heard of it.
-            self.news_at = now
-        self.clearance |= clearance
-        return is_news
+    def add_exemption(self, exemption: Exemption, now: float) -> bool:
+        """Add ``exemption``; return whether any of its flags is new."""
+        is_change = bool(exemption & ~self.exemption)
+        if exemption != self.exemption:
+            # Also when the reporter has fewer flags: it has to receive the missing ones.
+            self.changed_at = now
+        self.exemption |= exemption
+        return is_change
 
 
-CrashByRun = dict[Run, Crash]
+CrashesByKey = dict[CrashKey, Crash]
 
 
-def standing_of(caller: bytes, crashes: CrashByRun) -> Standing:
-    """Return what ``crashes`` of a request count against ``caller``.
+def summarise_crashes(caller: bytes, crashes: CrashesByKey) -> CrashSummary:
+    """Return which ``crashes`` of a request count against ``caller``.
 
-    A request may crash endpoints only for one caller, or for everybody: where it
-    did for several callers, and no one was answered, it counts against all.
+    A request may crash endpoints only for one caller, or for all. If it did so for
+    several callers and none of them was answered, the crashes of all of them count
+    against every caller.
     """
-    uncleared = _without(crashes, Clearance.EVERYBODY)
-    own = {run: crash for run, crash in uncleared.items() if run.caller == caller}
-    shared = _without(crashes, Clearance.OTHER_CALLERS | Clearance.EVERYBODY)
-    standings = [_total(own)]
-    if len({run.caller for run in shared}) > 1:
-        standings.append(_total(shared))
-    return max(standings, key=_weight)
+    counted = _without(crashes, Exemption.ALL_CALLERS)
+    own = {key: crash for key, crash in counted.items() if key.caller == caller}
+    shared = _without(crashes, Exemption.OTHER_CALLERS | Exemption.ALL_CALLERS)
+    summaries = [_total(own)]
+    if len({key.caller for key in shared}) > 1:
+        summaries.append(_total(shared))
+    return max(summaries, key=_weight)
 
 
-def most_weight(crashes: CrashByRun) -> float:
-    """Return the most that ``crashes`` of a request count against any caller."""
-    callers = {run.caller for run in crashes}
-    return max((standing_of(caller, crashes).weight for caller in callers), default=0.0)
+def max_weight(crashes: CrashesByKey) -> float:
+    """Return the highest weight of ``crashes`` of a request for any caller."""
+    callers = {key.caller for key in crashes}
+    return max((summarise_crashes(caller, crashes).weight for caller in callers), default=0.0)
 
 
-def _without(crashes: CrashByRun, clearance: Clearance) -> CrashByRun:
-    return {run: crash for run, crash in crashes.items() if not crash.clearance & clearance}
+def _without(crashes: CrashesByKey, exemption: Exemption) -> CrashesByKey:
+    return {key: crash for key, crash in crashes.items() if not crash.exemption & exemption}
 
 
-def _total(crashes: CrashByRun) -> Standing:
+def _total(crashes: CrashesByKey) -> CrashSummary:
     weight_by_endpoint: dict[int, float] = {}
-    for run, crash in crashes.items():
-        known = weight_by_endpoint.get(run.endpoint, 0.0)
-        weight_by_endpoint[run.endpoint] = max(known, _weight_of(crash))
-    return Standing(
+    for key, crash in crashes.items():
+        existing = weight_by_endpoint.get(key.endpoint, 0.0)
+        weight_by_endpoint[key.endpoint] = max(existing, _weight_of(crash))
+    return CrashSummary(
         crashes=len(weight_by_endpoint),
         weight=sum(weight_by_endpoint.values()),
-        newest_at=max((crash.at for crash in crashes.values()), default=_NEVER),
+        last_crash_at=max((crash.crashed_at for crash in crashes.values()), default=_NEVER),
     )
 
 
 def _weight_of(crash: Crash) -> float:
-    return ANSWERED_BEFORE_WEIGHT if crash.clearance & Clearance.ANSWERED_BEFORE else 1.0
+    return ANSWERED_BEFORE_WEIGHT if crash.exemption & Exemption.ANSWERED_BEFORE else 1.0
 
 
-def _weight(standing: Standing) -> float:
-    return standing.weight
+def _weight(summary: CrashSummary) -> float:
+    return summary.weight
--- a/packages/node/src/plantainloft_node/quarantine/fingerprints.py
+++ b/packages/node/src/plantainloft_node/quarantine/fingerprints.py
@@ -16,7 +16,7 @@
 CALLER_BYTES = 8
 # Of a longer body only this part is compared: the rest is still on its way
 # when an endpoint is chosen.
-PREFIX_BYTES = 65536
+MAX_HASHED_BODY_BYTES = 65536
 
 
 class RequestFingerprint(NamedTuple):
@@ -47,16 +47,18 @@
     A caller is known by its ``credentials``, or without any by its network
     ``address``: a caller that has credentials may come from many addresses.
     """
-    known_by = [one for one in credentials if one] or [address.encode()]
+    identity = [one for one in credentials if one] or [address.encode()]
     return RequestFingerprint(
-        content=_digest((method, host.lower(), target, body[:PREFIX_BYTES]), size=CONTENT_BYTES),
-        caller=_digest(known_by, size=CALLER_BYTES),
+        content=_digest(
+            (method, host.lower(), target, body[:MAX_HASHED_BODY_BYTES]), size=CONTENT_BYTES
+        ),
+        caller=_digest(identity, size=CALLER_BYTES),
     )
 
 
-def parse_fingerprint(written: str) -> RequestFingerprint | None:
+def parse_fingerprint(text: str) -> RequestFingerprint | None:
     """Return the fingerprint as operators write it, ``None`` if it is none."""
-    content, _, caller = written.partition('-')
+    content, _, caller = text.partition('-')
     try:
         request = RequestFingerprint(bytes.fromhex(content), bytes.fromhex(caller))
     except ValueError:
--- a/packages/node/src/plantainloft_node/quarantine/recent_answers.py
+++ b/packages/node/src/plantainloft_node/quarantine/recent_answers.py
@@ -1,37 +1,41 @@
-"""Which requests were answered lately."""
+"""Requests that were answered recently."""
 
 from collections import OrderedDict
 
-from plantainloft_node.quarantine.crashes import Clearance
+from plantainloft_node.quarantine.crashes import Exemption
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
 
 __all__ = ['RecentAnswers']
 
-# Answers speak for a request for this time.
-ANSWERED_S = 60.0
-MAX_ANSWERED = 2048
+# An answer affects crashes up to this long after it.
+ANSWER_RETENTION_S = 60.0
+# Each answer takes two entries, one with the caller and one without.
+MAX_ENTRIES = 2048
 _NEVER = float('-inf')
 
 
 class RecentAnswers:
-    """Which requests this instance saw answered lately, a bounded number."""
+    """A bounded number of requests that this instance saw answered recently."""
 
     def __init__(self) -> None:
         self._answered_at: OrderedDict[int, float] = OrderedDict()
 
-    def note(self, request: RequestFingerprint, now: float) -> None:
-        """Take an answer to ``request``."""
+    def record(self, request: RequestFingerprint, now: float) -> None:
+        """Record an answer to ``request``."""
         for key in (hash(request), hash(request.content)):
             self._answered_at[key] = now
             self._answered_at.move_to_end(key)
-        while len(self._answered_at) > MAX_ANSWERED:
+        while len(self._answered_at) > MAX_ENTRIES:
             self._answered_at.popitem(last=False)
 
-    def clearance(self, request: RequestFingerprint, at: float) -> Clearance:
-        """Return what answers until ``at`` say of a crash at that time."""
-        clearance = Clearance.NOBODY
-        if self._answered_at.get(hash(request), _NEVER) > at - ANSWERED_S:
-            clearance |= Clearance.ANSWERED_BEFORE
-        if self._answered_at.get(hash(request.content), _NEVER) > at - ANSWERED_S:
-            clearance |= Clearance.OTHER_CALLERS
-        return clearance
+    def exemption(self, request: RequestFingerprint, crashed_at: float) -> Exemption:
+        """Return the exemption of a crash at ``crashed_at`` that follows from answers.
+
+        Answers from ``ANSWER_RETENTION_S`` before the crash onwards count.
+        """
+        exemption = Exemption.NONE
+        if self._answered_at.get(hash(request), _NEVER) > crashed_at - ANSWER_RETENTION_S:
+            exemption |= Exemption.ANSWERED_BEFORE
+        if self._answered_at.get(hash(request.content), _NEVER) > crashed_at - ANSWER_RETENTION_S:
+            exemption |= Exemption.OTHER_CALLERS
+        return exemption
--- a/packages/node/src/plantainloft_node/quarantine/records.py
+++ b/packages/node/src/plantainloft_node/quarantine/records.py
@@ -8,7 +8,7 @@
 import msgpack
 
 from plantainloft_core.outcomes import Invalid, Unreachable
-from plantainloft_node.quarantine.crash_book import MAX_CRASHES_OF_REQUEST
+from plantainloft_node.quarantine.crash_book import MAX_CRASHES_PER_REQUEST
 from plantainloft_node.quarantine.crash_codec import pack_crashes, unpack_crashes
 from plantainloft_node.quarantine.crashes import CrashReport
 
@@ -20,16 +20,18 @@
 class QuarantineRecord(NamedTuple):
     """The crashes under a request as of ``written_at``, and its last trial.
 
-    Both times are Unix seconds; ``tried_at`` is 0 before the first trial.
+    Both times are Unix seconds; ``last_trial_at`` is 0 before the first trial.
     """
 
     written_at: float
-    tried_at: float
+    last_trial_at: float
     crashes: tuple[CrashReport, ...]
 
     def pack(self) -> bytes:
         """Return the record's bytes."""
-        packed: bytes = msgpack.packb([self.written_at, self.tried_at, pack_crashes(self.crashes)])
+        packed: bytes = msgpack.packb(
+            [self.written_at, self.last_trial_at, pack_crashes(self.crashes)]
+        )
         return packed
 
 
@@ -43,17 +45,17 @@
     def unpack(self) -> QuarantineRecord | Invalid:
         """Return the record, or why the row holds none."""
         try:
-            return _unpacked(self.packed)
+            return _unpack_record(self.packed)
         except _MALFORMED as exc:
             return Invalid(problems=(f'row {self.key} is no quarantined request: {exc}',))
 
 
-def _unpacked(packed: bytes) -> QuarantineRecord:
-    written_at, tried_at, crashes = msgpack.unpackb(packed)
+def _unpack_record(packed: bytes) -> QuarantineRecord:
+    written_at, last_trial_at, crashes = msgpack.unpackb(packed)
     return QuarantineRecord(
         written_at=float(written_at),
-        tried_at=float(tried_at),
-        crashes=unpack_crashes(crashes, most=MAX_CRASHES_OF_REQUEST),
+        last_trial_at=float(last_trial_at),
+        crashes=unpack_crashes(crashes, max_crashes=MAX_CRASHES_PER_REQUEST),
     )
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -8,15 +8,15 @@
 
 from plantainloft_core.outcomes import Invalid
 from plantainloft_node.quarantine.crash_book import (
-    MAX_CRASHES_OF_REQUEST,
-    MAX_REPORTED,
+    MAX_CRASHES_PER_REPORT,
+    MAX_CRASHES_PER_REQUEST,
     MAX_REQUESTS,
-    SPREAD_S,
+    RECENT_CHANGE_S,
     CrashBook,
 )
 from plantainloft_node.quarantine.crash_checks import EndpointRun
 from plantainloft_node.quarantine.crash_codec import CRASH_BYTES, pack_crashes, unpack_crashes
-from plantainloft_node.quarantine.crashes import HOLD_S, MEMORY_S
+from plantainloft_node.quarantine.crashes import CRASH_RETENTION_S, HOLD_S
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint, fingerprint_of
 from plantainloft_node.quarantine.quarantine import Admitted, Quarantine, ShutOut, Trial
 from plantainloft_node.quarantine.records import StoredRecord
@@ -162,20 +162,20 @@
     assert is_shut_out(book, request(b'/fatal'))
     for number in range(100):
         crashed(book, request(b'/fatal'), f'j{number}')
-    assert len(book.reports_of(request(b'/fatal').content, NOW)) <= MAX_CRASHES_OF_REQUEST
+    assert len(book.reports_of(request(b'/fatal').content, NOW)) <= MAX_CRASHES_PER_REQUEST
 
 
 def test_a_full_book_takes_on_a_request_after_others_have_expired() -> None:
     book = CrashBook()
     for number in range(MAX_REQUESTS):
         crashed(book, request(b'/%d' % number), 'i1', 'i2', 'i3')
-    later = NOW + MEMORY_S
+    later = NOW + CRASH_RETENTION_S
     assert not is_shut_out(book, request(b'/0'), later)
     crashed(book, request(b'/new'), 'i1', now=later)
     assert book.standing(request(b'/new'), later).crashes == 1
 
 
-@pytest.mark.parametrize(('requests', 'crashes'), [(20, 3), (16, MAX_CRASHES_OF_REQUEST)])
+@pytest.mark.parametrize(('requests', 'crashes'), [(20, 3), (16, MAX_CRASHES_PER_REQUEST)])
 def test_a_report_is_bounded_and_tells_of_all_that_is_shut_out_in_turn(
     requests: int, crashes: int
 ) -> None:
@@ -183,11 +183,11 @@
     fatal = [request(b'/%d' % number) for number in range(requests)]
     for one in fatal:
         crashed(book, one, *(f'i{number}' for number in range(crashes)))
-    later = NOW + SPREAD_S + 1
+    later = NOW + RECENT_CHANGE_S + 1
     newcomer = CrashBook()
     for _ in range(8):
         reports = book.reports(later)
-        assert len(pack_crashes(reports)) <= MAX_REPORTED * CRASH_BYTES
+        assert len(pack_crashes(reports)) <= MAX_CRASHES_PER_REPORT * CRASH_BYTES
         newcomer.merge(reports, later)
     assert all(is_shut_out(newcomer, one, later) for one in fatal)
 
@@ -195,9 +195,9 @@
 def test_what_nobody_asks_for_is_forgotten() -> None:
     book = CrashBook()
     crashed(book, request(), 'i1', 'i2', 'i3')
-    book.forget_old(NOW + MEMORY_S)
+    book.forget_old(NOW + CRASH_RETENTION_S)
     assert not book
-    assert not book.merge([one._replace(age_s=MEMORY_S) for one in reports_of_one()], NOW)
+    assert not book.merge([one._replace(age_s=CRASH_RETENTION_S) for one in reports_of_one()], NOW)
 
 
 def reports_of_one() -> list:  # type: ignore[type-arg]
@@ -250,7 +250,7 @@
         for one in instances:
             one.book.note_crash(run.request, run.incarnation, NOW)
     content = request().content
-    await store.write(content.hex(), instances[0].record_of(content).pack())
+    await store.write(content.hex(), instances[0].build_record(content).pack())
     assert all([isinstance(await one.admit(request()), ShutOut) for one in instances])
     now[0] += HOLD_S
     outcomes = [await one.admit(request()) for one in instances]
