--- a/packages/node/src/plantainloft_node/quarantine/fingerprints.py
+++ b/packages/node/src/plantainloft_node/quarantine/fingerprints.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same: what is asked, and who asks it."""
+"""Fingerprints that identify repeats of a request by its content and its caller."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -14,22 +14,22 @@
 
 CONTENT_BYTES = 12
 CALLER_BYTES = 8
-# Of a longer body only this part is compared: the rest is still on its way
-# when an endpoint is chosen.
+# The rest of a longer body has not arrived yet when an endpoint is chosen.
 MAX_HASHED_BODY_BYTES = 65536
 
 
 class RequestFingerprint(NamedTuple):
-    """Digests of a request: the same for each repeat, under any id.
+    """Digests of a request; repeats have the same ones, whatever their request id.
 
-    ``content`` covers method, host, path, query and body, ``caller`` who asks.
+    ``content`` covers method, host, path, query and body; ``caller`` covers the
+    credentials or the address of the caller.
     """
 
     content: bytes
     caller: bytes
 
     def __str__(self) -> str:
-        """Return the digests as operators read and type them."""
+        """Return both digests in hexadecimal, the form that operators read and type."""
         return f'{self.content.hex()}-{self.caller.hex()}'
 
 
@@ -44,10 +44,10 @@
 ) -> RequestFingerprint:
     """Return the fingerprint of a request.
 
-    A caller is known by its ``credentials``, or without any by its network
-    ``address``: a caller that has credentials may come from many addresses.
+    A caller is identified by its ``credentials``, since it may use many addresses,
+    or by its network ``address`` if it sends no credentials.
     """
-    identity = [one for one in credentials if one] or [address.encode()]
+    identity = [credential for credential in credentials if credential] or [address.encode()]
     return RequestFingerprint(
         content=_digest(
             (method, host.lower(), target, body[:MAX_HASHED_BODY_BYTES]), size=CONTENT_BYTES
@@ -57,7 +57,7 @@
 
 
 def parse_fingerprint(text: str) -> RequestFingerprint | None:
-    """Return the fingerprint as operators write it, ``None`` if it is none."""
+    """Parse the form that operators type; return ``None`` if ``text`` is malformed."""
     content, _, caller = text.partition('-')
     try:
         request = RequestFingerprint(bytes.fromhex(content), bytes.fromhex(caller))
@@ -70,7 +70,7 @@
 def _digest(parts: Iterable[bytes], *, size: int) -> bytes:
     digest = blake2b(digest_size=size)
     for part in parts:
-        # Each part with its length: no two lists of parts read the same.
+        # The length prefix keeps different lists of parts from hashing the same bytes.
         digest.update(len(part).to_bytes(8, 'big'))
         digest.update(part)
     return digest.digest()
--- a/packages/node/src/plantainloft_node/quarantine/quarantine.py
+++ b/packages/node/src/plantainloft_node/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that are sent to no endpoint, since endpoints crash under them."""
+"""Quarantine of requests that crash endpoints."""
 
 import logging
 import time
@@ -20,11 +20,11 @@
 log = logging.getLogger(__name__)
 
 STORE_RETRY_S = 1.0
-# An instance that hears from no other looks into the store, this often at most.
+# Minimum time between store reads of an instance without live peers.
 STORE_REFRESH_INTERVAL_S = 2.0
-# Every look into the store is paid for, also where many ask for a trial.
+# Limits store reads when many callers ask for a trial: every call is billed.
 TRIAL_CLAIM_INTERVAL_S = 1.0
-# A caller is not kept waiting for a store that does not answer.
+# Limits how long a caller waits for a store that does not answer.
 TRIAL_CLAIM_TIMEOUT_S = 0.4
 
 
@@ -32,7 +32,8 @@
 class Admitted:
     """The request may be sent.
 
-    ``suspect``: endpoints have ended under it before, so it is sent to one only.
+    ``suspect``: endpoints have crashed while running it, so it is sent to one
+    endpoint only.
     """
 
     suspect: bool = False
@@ -40,19 +41,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Trial:
-    """The request may be sent to one endpoint, by this instance alone."""
+    """The request is quarantined, but may be sent to one endpoint as a trial.
+
+    Only this instance may do so.
+    """
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ShutOut:
-    """The request is sent to no endpoint; ``crashes`` endpoints ended under it."""
+    """The request is quarantined: ``crashes`` endpoints crashed while running it."""
 
     request: RequestFingerprint
     crashes: int
 
 
 class QuarantineEntry(TypedDict):
-    """A request that is shut out, as operators see it; times in seconds."""
+    """A quarantined request as listed to operators; times in seconds."""
 
     request: str
     crashes: int
@@ -64,7 +68,7 @@
 
 
 class Quarantine:
-    """Decides which requests are sent, and keeps what is known of crashes."""
+    """Decides which requests may be sent and shares crash records with other instances."""
 
     def __init__(
         self,
@@ -74,7 +78,11 @@
         is_alone: Callable[[], bool],
         spread: Callable[[], None],
     ) -> None:
-        """``spread`` sends news to the others, ``is_alone`` returns whether none is heard."""
+        """Set up the quarantine.
+
+        ``spread`` broadcasts changes to the other instances, ``is_alone`` returns
+        whether there are no live ones.
+        """
         self.book = book
         self._store = store
         self._is_alone = is_alone
@@ -85,10 +93,10 @@
         self._last_claim_at = float('-inf')
 
     def note_crash(self, run: EndpointRun, now: float) -> None:
-        """Take a run under which its endpoint ended."""
+        """Record that the endpoint of ``run`` crashed."""
         summary = self.book.note_crash(run.request, run.incarnation, now)
         if summary.is_quarantined:
-            self._log('Quarantine: request %s is sent no more.', run.request, summary)
+            self._log('Quarantine: request %s is quarantined.', run.request, summary)
             self._schedule_write(run.request)
         elif self._is_alone() and now - self._last_refresh_at >= STORE_REFRESH_INTERVAL_S:
             self._last_refresh_at = now
@@ -97,30 +105,30 @@
             self._spread()
 
     def note_answered(self, request: RequestFingerprint, now: float) -> None:
-        """Take an endpoint's answer to ``request``: it crashes not all that run it."""
+        """Record an answer to ``request``, which shows that it does not crash every endpoint."""
         before = self.book.standing(request, now)
         if not self.book.note_answered(request, now):
             return
         if before.is_quarantined:
-            self._log('Quarantine: request %s was answered, and is sent again.', request, before)
+            self._log('Quarantine: request %s was answered and is released.', request, before)
             self._schedule_write(request)
         if self.book.is_urgent(before.weight, now):
             self._spread()
 
     def lift(self, request: RequestFingerprint, now: float) -> bool:
-        """Have ``request`` sent again, by an operator's word; return if it was known."""
+        """Release ``request`` on behalf of an operator; return whether crashes counted."""
         before = self.book.standing(request, now)
         if not self.book.lift(request, now):
             return False
-        self._log('Quarantine: request %s is lifted.', request, before)
+        self._log('Quarantine: request %s was released by an operator.', request, before)
         self._schedule_write(request)
         self._spread()
         return True
 
     def listing(self, now: float) -> list[QuarantineEntry]:
-        """Return the requests that are shut out, the one that crashed most first."""
+        """Return the quarantined requests, those with most crashes first."""
         quarantined = self.book.quarantined(now).items()
-        by_crashes = sorted(quarantined, key=lambda one: one[1].crashes, reverse=True)
+        by_crashes = sorted(quarantined, key=lambda item: item[1].crashes, reverse=True)
         return [
             QuarantineEntry(
                 request=str(request),
@@ -132,7 +140,10 @@
         ]
 
     async def admit(self, request: RequestFingerprint) -> Admission:
-        """Return whether ``request`` may be sent now."""
+        """Return whether ``request`` may be sent now.
+
+        Once the trial delay is over, one instance may try a quarantined request.
+        """
         now = anyio.current_time()
         summary = self.book.standing(request, now)
         if not summary.is_quarantined:
@@ -140,17 +151,17 @@
         if summary.is_trial_due(now):
             with anyio.move_on_after(TRIAL_CLAIM_TIMEOUT_S):
                 if await self._claim_trial(request):
-                    self._log('Quarantine: request %s is tried once more.', request, summary)
+                    self._log('Quarantine: request %s gets a trial.', request, summary)
                     return Trial()
         return ShutOut(request=request, crashes=summary.crashes)
 
     def build_record(self, content: bytes, *, last_trial_at: float = 0.0) -> QuarantineRecord:
-        """Return what is known of requests of ``content``, as the store keeps it."""
+        """Return the store record of all crashes of requests with ``content``."""
         crashes = self.book.reports_of(content, anyio.current_time())
         return QuarantineRecord(time.time(), last_trial_at, tuple(crashes))
 
     async def run(self) -> None:
-        """Read the store at the start, then write what is quarantined, until cancelled."""
+        """Load stored records, then write changes and refresh on demand until cancelled."""
         while isinstance(await self._load_rows(), Unreachable):
             await anyio.sleep(STORE_RETRY_S)
         while True:
@@ -177,11 +188,11 @@
         if isinstance(record, Invalid):
             log.warning('Quarantine: %s.', '; '.join(record.problems), extra={'kind': 'bad_row'})
             return
-        held_s = max(0.0, time.time() - record.written_at)
-        if held_s >= CRASH_RETENTION_S:
+        record_age_s = max(0.0, time.time() - record.written_at)
+        if record_age_s >= CRASH_RETENTION_S:
             await self._store.remove(row)
             return
-        self.book.merge(record.crashes, anyio.current_time(), held_s=held_s)
+        self.book.merge(record.crashes, anyio.current_time(), held_s=record_age_s)
 
     async def _write_unsaved(self) -> None:
         for content in list(self._unsaved_contents):
@@ -193,10 +204,10 @@
             self._unsaved_contents.discard(content)
 
     async def _claim_trial(self, request: RequestFingerprint) -> bool:
-        """Return whether this instance may try ``request``, and no other may.
+        """Claim the trial of ``request``; return whether this instance got it.
 
-        The store decides between those that ask at the same moment; without
-        it there is no trial.
+        A conditional write to the store decides between instances that claim at
+        the same time. There is no trial while the store is unreachable.
         """
         now = anyio.current_time()
         if now - self._last_claim_at < TRIAL_CLAIM_INTERVAL_S:
@@ -205,7 +216,7 @@
         rows = await self._load_rows()
         if isinstance(rows, Unreachable):
             return False
-        row = next((one for one in rows if one.key == request.content.hex()), None)
+        row = next((row for row in rows if row.key == request.content.hex()), None)
         record = None if row is None else row.unpack()
         if row is None or not isinstance(record, QuarantineRecord):
             self._schedule_write(request)
--- a/packages/node/src/plantainloft_node/quarantine/records.py
+++ b/packages/node/src/plantainloft_node/quarantine/records.py
@@ -1,4 +1,7 @@
-"""Quarantined requests in the platform's store, where they outlast every process."""
+"""Records of quarantined requests in the platform's store.
+
+The records survive the loss of all instances.
+"""
 
 import struct
 from abc import ABC, abstractmethod
@@ -18,7 +21,7 @@
 
 
 class QuarantineRecord(NamedTuple):
-    """The crashes under a request as of ``written_at``, and its last trial.
+    """The crashes of a request as of ``written_at`` and the time of its last trial.
 
     Both times are Unix seconds; ``last_trial_at`` is 0 before the first trial.
     """
@@ -28,7 +31,7 @@
     crashes: tuple[CrashReport, ...]
 
     def pack(self) -> bytes:
-        """Return the record's bytes."""
+        """Encode the record."""
         packed: bytes = msgpack.packb(
             [self.written_at, self.last_trial_at, pack_crashes(self.crashes)]
         )
@@ -36,18 +39,18 @@
 
 
 class StoredRecord(NamedTuple):
-    """A record and the row that holds it."""
+    """An encoded record with the key and version of its row."""
 
     key: str
     version: int
     packed: bytes
 
     def unpack(self) -> QuarantineRecord | Invalid:
-        """Return the record, or why the row holds none."""
+        """Decode the record; return ``Invalid`` if it is malformed."""
         try:
             return _unpack_record(self.packed)
         except _MALFORMED as exc:
-            return Invalid(problems=(f'row {self.key} is no quarantined request: {exc}',))
+            return Invalid(problems=(f'row {self.key} is not a valid quarantine record: {exc}',))
 
 
 def _unpack_record(packed: bytes) -> QuarantineRecord:
@@ -61,11 +64,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Outdated:
-    """The row has changed since it was read; nothing was written."""
+    """The row has changed since it was read, so nothing was written."""
 
 
 class QuarantineStore(ABC):
-    """The rows of quarantined requests, one a request."""
+    """Stores one row per quarantined request."""
 
     @abstractmethod
     async def read(self) -> list[StoredRecord] | Unreachable:
@@ -73,12 +76,12 @@
 
     @abstractmethod
     async def write(self, key: str, packed: bytes) -> Unreachable | None:
-        """Write a row, whatever it was before."""
+        """Write a row unconditionally."""
 
     @abstractmethod
     async def replace(self, row: StoredRecord, packed: bytes) -> Outdated | Unreachable | None:
-        """Write over ``row`` if it still has its version."""
+        """Replace the record of ``row`` if its version is unchanged."""
 
     @abstractmethod
     async def remove(self, row: StoredRecord) -> Unreachable | None:
-        """Remove ``row`` if it still has its version."""
+        """Remove ``row`` if its version is unchanged."""
