--- a/packages/node/src/plantainloft_node/node_quarantine.py
+++ b/packages/node/src/plantainloft_node/node_quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantined requests of the product's own interface, in its table."""
+"""Quarantine of the node's HTTP API, with records in the table service."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,43 +10,43 @@
 from plantainloft_node.quarantine.quarantine import Quarantine
 from plantainloft_node.quarantine.records import Outdated, QuarantineStore, StoredRecord
 
-__all__ = ['QuarantineTable', 'build_node_quarantine']
+__all__ = ['TableQuarantineStore', 'build_node_quarantine']
 
-PREFIX = 'quarantine/'
-# The table keeps values, not deletions: a removed row says so.
+KEY_PREFIX = 'quarantine/'
+# ``TableClient`` writes values but cannot delete rows: a removed row holds this one.
 _REMOVED = ''
 
 
-class QuarantineTable(QuarantineStore):
-    """The rows under ``quarantine/``; values are hexadecimal."""
+class TableQuarantineStore(QuarantineStore):
+    """Stores records in hexadecimal under the key prefix ``quarantine/``."""
 
     def __init__(self, *, client: TableClient) -> None:
         self._client = client
 
     async def read(self) -> list[StoredRecord] | Unreachable:
         """Return all rows."""
-        rows = await self._client.scan(PREFIX)
+        rows = await self._client.scan(KEY_PREFIX)
         if isinstance(rows, Unreachable):
             return rows
-        return [_record(row) for row in rows if row.value != _REMOVED]
+        return [_to_record(row) for row in rows if row.value != _REMOVED]
 
     async def write(self, key: str, packed: bytes) -> Unreachable | None:
-        """Write a row, whatever it was before."""
-        outcome = await self._client.txn(conditions={}, writes={PREFIX + key: packed.hex()})
+        """Write a row unconditionally."""
+        outcome = await self._client.txn(conditions={}, writes={KEY_PREFIX + key: packed.hex()})
         return outcome if isinstance(outcome, Unreachable) else None
 
     async def replace(self, row: StoredRecord, packed: bytes) -> Outdated | Unreachable | None:
-        """Write over ``row`` if it still has its version."""
-        return await self._write_over(row, packed.hex())
+        """Replace the record of ``row`` if its version is unchanged."""
+        return await self._replace_value(row, packed.hex())
 
     async def remove(self, row: StoredRecord) -> Unreachable | None:
-        """Remove ``row`` if it still has its version."""
-        outcome = await self._write_over(row, _REMOVED)
+        """Remove ``row`` if its version is unchanged."""
+        outcome = await self._replace_value(row, _REMOVED)
         return outcome if isinstance(outcome, Unreachable) else None
 
-    async def _write_over(self, row: StoredRecord, written: str) -> Outdated | Unreachable | None:
-        key = PREFIX + row.key
-        outcome = await self._client.txn(conditions={key: row.version}, writes={key: written})
+    async def _replace_value(self, row: StoredRecord, value: str) -> Outdated | Unreachable | None:
+        key = KEY_PREFIX + row.key
+        outcome = await self._client.txn(conditions={key: row.version}, writes={key: value})
         if isinstance(outcome, TxnConflict):
             return Outdated()
         return outcome if isinstance(outcome, Unreachable) else None
@@ -55,22 +55,22 @@
 def build_node_quarantine(
     *, client: TableClient, roster: Roster, spread: Callable[[], None]
 ) -> Quarantine:
-    """Return the quarantine of a node, empty so far."""
+    """Return a node's quarantine, which loads its records when it is run."""
     return Quarantine(
         book=CrashBook(),
-        store=QuarantineTable(client=client),
+        store=TableQuarantineStore(client=client),
         is_alone=lambda: len(roster.live()) == 1,
         spread=spread,
     )
 
 
-def _record(row: Row) -> StoredRecord:
-    return StoredRecord(row.key.removeprefix(PREFIX), row.version, _unhex(row.value))
+def _to_record(row: Row) -> StoredRecord:
+    return StoredRecord(row.key.removeprefix(KEY_PREFIX), row.version, _decode_hex(row.value))
 
 
-def _unhex(written: Any) -> bytes:
-    """Return the bytes; none where another writer left something else."""
+def _decode_hex(value: Any) -> bytes:
+    """Decode ``value``; return no bytes if another writer left something else."""
     try:
-        return bytes.fromhex(written)
+        return bytes.fromhex(value)
     except (TypeError, ValueError):
         return b''
