--- a/packages/node/src/plantainloft_node/idempotency.py
+++ b/packages/node/src/plantainloft_node/idempotency.py
@@ -1,14 +1,14 @@
-"""At-most-once for non-idempotent requests, by claims in the table.
+"""At-most-once execution of non-idempotent requests, based on claims in the table.
 
-Before a non-idempotent request (``POST``) is forwarded, the node claims
-its ``Idempotency-Key`` with a conditional write. Only the claimant
-forwards; a retry through any entry instance finds the claim and gets
-the recorded answer, or ``Unknown`` while it is open. A claim whose
-request did not run is released, so the caller's retry may run.
+Before a non-idempotent request (``POST``) is forwarded, the node claims its
+``Idempotency-Key`` with a conditional write. Only the node that holds the claim
+forwards the request. A retry through any entry instance finds the claim and gets
+the recorded answer, or ``Unknown`` while the claim is open. The claim of a request
+that did not run is released, so that a retry may run.
 
-The row's version is the fencing token: a row is never deleted, each
-claim, release and record is conditioned on the version it saw, so a
-claimant that was paused and superseded can change nothing.
+The version of the row serves as a fencing token: rows are never deleted, and each
+claim, release and record is conditional on the version that was read. A node that
+was paused and lost its claim meanwhile therefore cannot change the row.
 """
 
 import uuid
@@ -23,22 +23,22 @@
 __all__ = ['Claim', 'IdempotencyLedger']
 
 RETRY_AFTER_S = 1
-SETTLE_READS = 4
-SETTLE_PAUSE_S = 0.05
+OUTCOME_READS = 4
+OUTCOME_READ_INTERVAL_S = 0.05
 _STARTED = 'started'
 _RELEASED = 'released'
 _DONE = 'done'
 
 
 class Claim(NamedTuple):
-    """This node holds the key; ``version`` is the claim row's version."""
+    """A claim held by this node: the key and version of its row."""
 
     key: str
     version: int
 
 
 class IdempotencyLedger:
-    """Claims and records outcomes of non-idempotent requests."""
+    """Claims idempotency keys and records the outcomes of their requests."""
 
     def __init__(self, *, client: TableClient, batcher: TxnBatcher, node: str) -> None:
         self._client = client
@@ -46,7 +46,7 @@
         self._node = node
 
     async def claim(self, service: str, key: str) -> Claim | Served | Unknown | Refused:
-        """Claim ``key``; or return the earlier outcome, or refuse."""
+        """Claim ``key``; otherwise return the earlier outcome or a refusal."""
         row_key = f'idem/{service}/{key}'
         claimed = await self._insert(row_key, version=0)
         if not isinstance(claimed, Row):
@@ -54,14 +54,14 @@
         if claimed.value['state'] == _RELEASED:
             claimed = await self._insert(row_key, version=claimed.version)
         if isinstance(claimed, Row):
-            return await self._settled(claimed)
+            return await self._await_outcome(claimed)
         return claimed
 
     def record(self, claim: Claim, served: Served) -> None:
-        """Store the answer so a retry gets it instead of a second run."""
-        # The caller's answer does not wait for this write. If it never
-        # lands the claim stays open and retries are told Unknown: at
-        # most once still holds, only the replay is lost.
+        """Store the answer, so that a retry gets it instead of running again."""
+        # The caller's answer does not wait for this write. If the write is lost,
+        # the claim stays open and retries get Unknown: at-most-once still holds,
+        # only the recorded answer is missing.
         value = {
             'state': _DONE,
             'status': served.status,
@@ -71,16 +71,16 @@
         self._batcher.post(conditions={claim.key: claim.version}, writes={claim.key: value})
 
     async def release(self, claim: Claim) -> None:
-        """Give the key up: its request did not run, a retry may claim it.
+        """Release the claim of a request that did not run, so that a retry may claim it.
 
-        Without this a refused booking could never be made: the caller is
-        told "did not run, come back", comes back, and finds its own key
-        open, with an outcome nobody will ever know.
+        Otherwise a refused booking could never be made: the caller is told to
+        retry, and the retry finds its own key claimed, with an outcome that stays
+        unknown.
         """
-        await self._move_on(claim.key, version=claim.version)
+        await self._write_release(claim.key, version=claim.version)
 
     async def _insert(self, row_key: str, *, version: int) -> Claim | Refused | Row:
-        """Claim the row at ``version``; return the row if it is taken."""
+        """Claim the row if it is at ``version``; return the row if it is taken."""
         claim_id = uuid.uuid4().hex
         value = {'state': _STARTED, 'node': self._node, 'claim_id': claim_id}
         outcome = await self._batcher.submit(conditions={row_key: version}, writes={row_key: value})
@@ -88,20 +88,20 @@
             return _not_run('idempotency ledger unreachable')
         if not isinstance(outcome, TxnConflict | LostAnswer):
             return Claim(key=row_key, version=outcome.versions_by_key[row_key])
-        return await self._who_holds(row_key, version=version, claim_id=claim_id)
+        return await self._resolve_claim(row_key, version=version, claim_id=claim_id)
 
-    async def _who_holds(
+    async def _resolve_claim(
         self, row_key: str, *, version: int, claim_id: str
     ) -> Claim | Refused | Row:
-        """Return our claim if it did land, else the row that stands."""
+        """Read the row after a conflict or a lost answer; return our claim if it succeeded."""
         row = await self._client.get(row_key)
         if not isinstance(row, Unreachable) and _version_of(row) == version:
-            # Our claim's answer was lost and the row does not show it,
-            # yet the write may still be on its way. Landing after we
-            # refused, it would leave an open claim that no node works on,
-            # and retries would be told Unknown for good. Moving the row
-            # past the version it is conditioned on makes it fail.
-            fence = await self._move_on(row_key, version=version)
+            # The answer to the claim was lost and the row does not contain the
+            # claim, but the write may still be in transit. If it took effect after
+            # the refusal, it would leave an open claim that no node works on, and
+            # retries would get Unknown forever. Writing the row now changes the
+            # version on which the delayed write is conditional, so that it fails.
+            fence = await self._write_release(row_key, version=version)
             if not isinstance(fence, TxnConflict):
                 return _not_run('claim not recorded')
             row = await self._client.get(row_key)
@@ -111,26 +111,26 @@
             return Claim(key=row_key, version=row.version)
         return row
 
-    async def _move_on(self, row_key: str, *, version: int) -> TxnOutcome:
-        """Release the row if it is at ``version``, moving it past that."""
+    async def _write_release(self, row_key: str, *, version: int) -> TxnOutcome:
+        """Write a released row if it is at ``version``, which also changes the version."""
         return await self._batcher.submit(
             conditions={row_key: version}, writes={row_key: {'state': _RELEASED}}
         )
 
-    async def _settled(self, row: Row) -> Served | Unknown | Refused:
-        """Return the outcome another claimant recorded, or will shortly."""
-        found: Row | Unreachable | None = row
-        for _ in range(SETTLE_READS):
-            if isinstance(found, Row) and found.value['state'] == _DONE:
+    async def _await_outcome(self, row: Row) -> Served | Unknown | Refused:
+        """Return the outcome that another claimant recorded, waiting briefly for it."""
+        current: Row | Unreachable | None = row
+        for _ in range(OUTCOME_READS):
+            if isinstance(current, Row) and current.value['state'] == _DONE:
                 return Served(
-                    status=found.value['status'],
-                    body=found.value['body'].encode(),
-                    endpoint=found.value['endpoint'],
+                    status=current.value['status'],
+                    body=current.value['body'].encode(),
+                    endpoint=current.value['endpoint'],
                 )
-            if isinstance(found, Row) and found.value['state'] == _RELEASED:
+            if isinstance(current, Row) and current.value['state'] == _RELEASED:
                 return _not_run('released by another attempt')
-            await anyio.sleep(SETTLE_PAUSE_S)
-            found = await self._client.get(row.key)
+            await anyio.sleep(OUTCOME_READ_INTERVAL_S)
+            current = await self._client.get(row.key)
         return Unknown(reason='same key in flight or outcome unknown')
 
 
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""At most once, and refusals that are true, under failures of the table."""
+"""At-most-once execution and truthful refusals under failures of the table."""
 
 from collections.abc import AsyncIterator
 
@@ -21,8 +21,8 @@
 
 pytestmark = pytest.mark.anyio
 
-DONE = Served(status=200, body=b'booked', endpoint='e0')
-ROW = 'idem/booking/k1'
+ANSWER = Served(status=200, body=b'booked', endpoint='e0')
+ROW_KEY = 'idem/booking/k1'
 
 
 @pytest.fixture
@@ -39,12 +39,11 @@
     return IdempotencyLedger(client=client, batcher=batcher, node='n1')
 
 
-async def test_refused_booking_may_be_made_later(ledger: IdempotencyLedger) -> None:
-    """Symptom: a booking refused with "did not run" could never be made.
+async def test_refused_request_may_be_claimed_again(ledger: IdempotencyLedger) -> None:
+    """Failure: a booking that was refused as "did not run" can never be made.
 
-    Sequence: the node claims the key, finds no headroom, refuses; the
-    caller comes back with the same key. Cause guarded: the claim of a
-    request that did not run stays open.
+    The node claims the key, has no capacity and refuses. If the claim stays open, the
+    caller's retry with the same key never runs.
     """
     claim = await ledger.claim('booking', 'k1')
     assert isinstance(claim, Claim)
@@ -52,56 +51,56 @@
     assert isinstance(await ledger.claim('booking', 'k1'), Claim)
 
 
-async def test_superseded_claimant_changes_nothing(
+async def test_superseded_claim_cannot_change_the_row(
     ledger: IdempotencyLedger, batcher: TxnBatcher, table: TableService
 ) -> None:
-    """Symptom: a paused node wakes and overwrites another's record.
+    """Failure: a node that was paused overwrites the claim of another one.
 
-    Sequence: a claimant releases its key, is paused, wakes believing it
-    still holds the claim, and records an answer; meanwhile a retry holds
-    the key. Cause guarded: a record not conditioned on the claim's version.
+    The node releases its claim and is paused. A retry claims the key, then the first
+    node resumes as if it still held the claim and records an answer. The record must
+    be conditional on the version of the claim.
     """
-    old = await ledger.claim('booking', 'k1')
-    assert isinstance(old, Claim)
-    await ledger.release(old)
-    new = await ledger.claim('booking', 'k1')
-    assert isinstance(new, Claim) and new.version > old.version
-    ledger.record(old, DONE)
+    superseded = await ledger.claim('booking', 'k1')
+    assert isinstance(superseded, Claim)
+    await ledger.release(superseded)
+    current = await ledger.claim('booking', 'k1')
+    assert isinstance(current, Claim) and current.version > superseded.version
+    ledger.record(superseded, ANSWER)
     await batcher.flush(within_s=5)
-    assert table.rows_by_key[ROW][1]['state'] == 'started'
+    assert table.rows_by_key[ROW_KEY][1]['state'] == 'started'
 
 
-async def test_claim_that_lands_late_is_fenced_off(
+async def test_delayed_claim_write_fails_after_a_refusal(
     client: TableClient, ledger: IdempotencyLedger, table: TableService
 ) -> None:
-    """Symptom: a refused booking's key is stuck, its outcome unknown for good.
+    """Failure: the key of a refused booking stays claimed, its outcome unknown.
 
-    Sequence: the claim's connection is cut, so its answer is lost; the
-    row read back is absent, the node refuses; then the delayed write
-    reaches the table. Cause guarded: refusing without moving the row on.
+    The answer to the claim is lost, the row read back is absent and the node refuses.
+    Then the delayed write reaches the table. The node must change the version of the
+    row before it refuses, so that the delayed write fails.
     """
     delayed: list[dict[str, dict[str, object]]] = []
-    real_txn = client.txn
+    original_txn = client.txn
 
-    async def cut_first(**txn: dict[str, object]) -> TxnDone | TxnConflict | LostAnswer:
+    async def lose_first_answer(**txn: dict[str, object]) -> TxnDone | TxnConflict | LostAnswer:
         if not delayed:
             delayed.append(txn)
             return LostAnswer(reason='cut')
-        return await real_txn(**txn)  # type: ignore[arg-type,return-value]
+        return await original_txn(**txn)  # type: ignore[arg-type,return-value]
 
-    client.txn = cut_first  # type: ignore[assignment,method-assign]
+    client.txn = lose_first_answer  # type: ignore[assignment,method-assign]
     assert isinstance(await ledger.claim('booking', 'k1'), Refused)
-    assert isinstance(await real_txn(**delayed[0]), TxnConflict)  # type: ignore[arg-type]
+    assert isinstance(await original_txn(**delayed[0]), TxnConflict)  # type: ignore[arg-type]
     assert isinstance(await ledger.claim('booking', 'k1'), Claim)
 
 
-async def test_claims_of_one_key_at_once_one_wins_and_others_replay(
+async def test_only_one_of_concurrent_claims_of_a_key_succeeds(
     ledger: IdempotencyLedger, table: TableService
 ) -> None:
-    """Symptom: two retries of one booking in the same batch both run.
+    """Failure: two retries of one booking in the same batch both run.
 
-    Sequence: ten claims of one key are made at once while the table loses
-    every answer. Cause guarded: merging claims of one row in one write.
+    Ten claims of one key are made concurrently while the table loses every answer.
+    The batcher must not merge claims of the same row into one write.
     """
     table.faults = Faults(mode='lose_answer')
     outcomes: list[object] = []
@@ -109,7 +108,7 @@
     async def claim() -> None:
         outcome = await ledger.claim('booking', 'k1')
         if isinstance(outcome, Claim):
-            ledger.record(outcome, DONE)
+            ledger.record(outcome, ANSWER)
         outcomes.append(outcome)
 
     async with anyio.create_task_group() as tasks:
@@ -119,7 +118,7 @@
     assert all(isinstance(outcome, Claim | Served | Unknown) for outcome in outcomes)
 
 
-async def test_many_claims_are_one_write(
+async def test_concurrent_claims_are_batched(
     ledger: IdempotencyLedger, batcher: TxnBatcher, table: TableService
 ) -> None:
     async with anyio.create_task_group() as tasks:
@@ -136,18 +135,20 @@
         (b'<h1>Bad gateway</h1>', Unknown),
     ],
 )
-async def test_only_the_endpoints_own_refusal_means_not_run(answer: bytes, kind: type) -> None:
-    """Symptom: told "did not run", the caller books again; it ran twice.
+async def test_only_a_refusal_by_the_endpoint_means_not_run(answer: bytes, kind: type) -> None:
+    """Failure: a request that already ran is refused as "did not run" and runs twice.
 
-    Sequence: an endpoint runs the request, then something between answers
-    503 with a page of its own. Cause guarded: any 503 read as a refusal.
+    The endpoint runs the request, then an intermediary answers 503 with a page of
+    its own. Only a 503 that states the endpoint's refusal proves that nothing ran.
     """
 
-    async def unavailable(talk: Conversation) -> None:
-        await talk.request()
-        await talk.say(b'HTTP/1.1 503 No\r\nContent-Length: %d\r\n\r\n' % len(answer) + answer)
+    async def answer_unavailable(connection: Conversation) -> None:
+        await connection.request()
+        await connection.say(
+            b'HTTP/1.1 503 No\r\nContent-Length: %d\r\n\r\n' % len(answer) + answer
+        )
 
-    endpoint = RawEndpoint(script=unavailable)
+    endpoint = RawEndpoint(script=answer_unavailable)
     async with httpx.AsyncClient() as http, anyio.create_task_group() as tasks:
         await tasks.start(lambda *, task_status: endpoint.run(task_status=task_status))
         loads = LoadBook(http=http, poll_s=1)
