--- a/tests/crashing_endpoints.py
+++ b/tests/crashing_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that end while they run one request, and are back after a while."""
+"""Endpoints that crash while they run a fatal request and restart shortly after."""
 
 import time
 from collections.abc import Callable
@@ -8,34 +8,36 @@
 from anyio.abc import SocketAttribute, SocketStream
 from entry_fixtures import Conversation
 
-FATAL = b'/fatal'
-RUNS_S = 0.1
-DOWN_S = 1.0
+FATAL_SUFFIX = b'/fatal'
+RUN_TIME_S = 0.1
+RESTART_DELAY_S = 1.0
 
 
 class Arrival(NamedTuple):
-    """A request that reached an endpoint, on the clock of ``time.monotonic``."""
+    """A request that reached an endpoint; the time is of ``time.monotonic``."""
 
-    at: float
+    arrived_at: float
     endpoint: str
-    fatal: bool
+    is_fatal: bool
 
 
 class Trace:
-    """What reached the endpoints of a test, and when they ended."""
+    """The requests that reached the endpoints of a test, and the times of crashes."""
 
     def __init__(self) -> None:
         self.arrivals: list[Arrival] = []
         self.crashes: list[float] = []
 
-    def fatal_after(self, seconds: float) -> list[Arrival]:
-        """Return the fatal requests later than ``seconds`` after the third crash."""
-        third = self.crashes[2] + seconds
-        return [one for one in self.arrivals if one.fatal and one.at > third]
+    def late_fatal_arrivals(self, delay_s: float) -> list[Arrival]:
+        """Return the fatal requests that arrived over ``delay_s`` after the third crash."""
+        start = self.crashes[2] + delay_s
+        return [
+            arrival for arrival in self.arrivals if arrival.is_fatal and arrival.arrived_at > start
+        ]
 
 
 class CrashingEndpoint:
-    """Answers requests, and ends under those whose path ends in ``FATAL``."""
+    """Answers requests, but crashes if the path ends in ``FATAL_SUFFIX``."""
 
     def __init__(
         self,
@@ -45,14 +47,14 @@
         answer: bytes,
         on_start: Callable[['CrashingEndpoint'], None],
     ) -> None:
-        """``on_start`` is called each time that the endpoint listens."""
+        """``on_start`` is called each time the endpoint starts to listen."""
         self.name = name
         self.address = ''
         self.requests: list[bytes] = []
         self._trace = trace
         self._answer = answer
         self._on_start = on_start
-        self._running = anyio.CancelScope()
+        self._run_scope = anyio.CancelScope()
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
         port = 0
@@ -61,29 +63,29 @@
             port = listener.extra(SocketAttribute.local_port)
             self.address = f'127.0.0.1:{port}'
             self._on_start(self)
-            if not self._running.cancel_called:
+            if not self._run_scope.cancel_called:
                 task_status.started()
-            with anyio.CancelScope() as self._running:
-                await listener.serve(self._talk)
+            with anyio.CancelScope() as self._run_scope:
+                await listener.serve(self._serve_connection)
             await listener.aclose()
-            await anyio.sleep(DOWN_S)
+            await anyio.sleep(RESTART_DELAY_S)
 
-    async def _talk(self, stream: SocketStream) -> None:
-        talk = Conversation(stream=stream, endpoint=self)  # type: ignore[arg-type]
+    async def _serve_connection(self, stream: SocketStream) -> None:
+        connection = Conversation(stream=stream, endpoint=self)  # type: ignore[arg-type]
         try:
             while True:
-                await self._handle(await talk.request(), talk)
+                await self._handle(await connection.request(), connection)
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             return
         finally:
             await anyio.aclose_forcefully(stream)
 
-    async def _handle(self, request: bytes, talk: Conversation) -> None:
-        fatal = request.split(b' ', 2)[1].endswith(FATAL)
-        self._trace.arrivals.append(Arrival(time.monotonic(), self.name, fatal))
-        await anyio.sleep(RUNS_S)
-        if fatal:
+    async def _handle(self, request: bytes, connection: Conversation) -> None:
+        is_fatal = request.split(b' ', 2)[1].endswith(FATAL_SUFFIX)
+        self._trace.arrivals.append(Arrival(time.monotonic(), self.name, is_fatal))
+        await anyio.sleep(RUN_TIME_S)
+        if is_fatal:
             self._trace.crashes.append(time.monotonic())
-            self._running.cancel()
+            self._run_scope.cancel()
             await anyio.sleep_forever()
-        await talk.say(self._answer)
+        await connection.say(self._answer)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that crashes each endpoint that runs it, sent again and again."""
+"""Repeats of a request that crashes every endpoint that runs it."""
 
 import itertools
 import json
@@ -31,33 +31,34 @@
 from plantainloft_standins.cluster import Cluster, bring_up
 from plantainloft_standins.deployments import Deployment, ServicePlan
 
-# What the users allow after the third crash, from all instances together.
-CONTACT_S = 4.0
-MAX_LATER = 3
-REPEAT_EVERY_S = 0.125
-PLAYED_S = 9.0
+# From this long after the third crash on, the users allow at most three further
+# arrivals at endpoints, from all instances together.
+PROPAGATION_LIMIT_S = 4.0
+MAX_LATE_ARRIVALS = 3
+REPEAT_INTERVAL_S = 0.125
+TEST_DURATION_S = 9.0
 ENDPOINTS = 6
 
 
 class Fleet:
-    """Entry processes in front of endpoints that crash."""
+    """Entry processes in front of endpoints that crash, and the statuses they return."""
 
     def __init__(self, *, trace: Trace, entries: list[EntryProcessHandle]) -> None:
         self.trace = trace
         self.entries = entries
         self.statuses: list[int] = []
 
-    async def repeat(self, path: str, *, seconds: float, number: str = 'f') -> None:
-        """Send a request again and again, at each instance in turn."""
+    async def repeat(self, path: str, *, seconds: float, id_prefix: str = 'f') -> None:
+        """Send a request repeatedly, to each instance in turn."""
         async with anyio.create_task_group() as tasks:
             entries = itertools.cycle(self.entries)
-            for turn in range(round(seconds / REPEAT_EVERY_S)):
-                tasks.start_soon(self.send, next(entries), path, f'{number}{turn}')
-                await anyio.sleep(REPEAT_EVERY_S)
+            for index in range(round(seconds / REPEAT_INTERVAL_S)):
+                tasks.start_soon(self.send, next(entries), path, f'{id_prefix}{index}')
+                await anyio.sleep(REPEAT_INTERVAL_S)
 
     async def send(self, entry: EntryProcessHandle, path: str, request_id: str) -> int:
-        more = f'X-Plantainloft-Request-Id: {request_id}\r\n'
-        answer = await call(entry.front, path, more=more)
+        header = f'X-Plantainloft-Request-Id: {request_id}\r\n'
+        answer = await call(entry.front, path, more=header)
         status = int(answer.split(b' ', 2)[1]) if answer else 0
         self.statuses.append(status)
         return status
@@ -72,9 +73,11 @@
                 name=f'i{number}',
                 trace=trace,
                 answer=SIGNED,
-                on_start=partial(relist, store),
+                on_start=partial(replace_endpoint_row, store),
+            )
+            await tasks.start(
+                lambda *, task_status, endpoint=endpoint: endpoint.run(task_status=task_status)
             )
-            await tasks.start(lambda *, task_status, one=endpoint: one.run(task_status=task_status))
         store.put(OPERATOR, 'config', config(3))
         for number in (1, 2):
             handles.append(
@@ -89,8 +92,8 @@
         yield Fleet(trace=trace, entries=handles)
 
 
-def relist(store: StoreStandin, endpoint: CrashingEndpoint) -> None:
-    """List a new incarnation in place of the one before."""
+def replace_endpoint_row(store: StoreStandin, endpoint: CrashingEndpoint) -> None:
+    """Replace the row of the previous incarnation by one of a new incarnation."""
     number = endpoint.name.split('-')[0]
     store.remove(ENDPOINT_TABLE, endpoint.name)
     endpoint.name = f'{number}-{time.monotonic_ns()}'
@@ -98,32 +101,32 @@
 
 
 @pytest.mark.anyio
-async def test_repeats_stop_at_all_instances_once_three_endpoints_have_crashed(
+async def test_all_instances_stop_sending_a_request_after_three_crashes(
     handles: list[EntryProcessHandle], tmp_path: Path
 ) -> None:
-    """Each instance saw only its own share of the crashes, and forgot it."""
+    """Failure: each instance counted only the crashes it saw itself, and forgot them."""
     async with crashing_fleet(handles, tmp_path) as fleet:
-        await fleet.repeat('/files/fatal', seconds=PLAYED_S)
-        assert len(fleet.trace.fatal_after(CONTACT_S)) <= MAX_LATER
+        await fleet.repeat('/files/fatal', seconds=TEST_DURATION_S)
+        assert len(fleet.trace.late_fatal_arrivals(PROPAGATION_LIMIT_S)) <= MAX_LATE_ARRIVALS
         assert fleet.statuses[-8:] == [502] * 8
 
 
-async def shut_out(entry: EntryProcessHandle) -> list[dict[str, object]]:
+async def list_quarantined(entry: EntryProcessHandle) -> list[dict[str, object]]:
     answer = await call(entry.metrics, '/quarantine')
     return list(json.loads(answer.partition(b'\r\n\r\n')[2] or b'[]'))
 
 
-async def are_shut_out(entry: EntryProcessHandle) -> int:
-    return len(await shut_out(entry))
+async def count_quarantined(entry: EntryProcessHandle) -> int:
+    return len(await list_quarantined(entry))
 
 
 @pytest.mark.anyio
-async def test_a_quarantine_outlasts_the_loss_of_all_instances(
+async def test_quarantine_survives_the_loss_of_all_instances(
     handles: list[EntryProcessHandle], tmp_path: Path
 ) -> None:
     async with crashing_fleet(handles, tmp_path) as fleet:
         await fleet.repeat('/files/fatal', seconds=2.0)
-        await until(lambda: are_shut_out(handles[1]), 1)
+        await until(lambda: count_quarantined(handles[1]), 1)
         await anyio.sleep(1.0)
         for handle in handles:
             handle.signal(signal.SIGKILL)
@@ -132,33 +135,33 @@
             handle.start()
         for handle in handles:
             await handle.until_ready()
-            await until(partial(are_shut_out, handle), 1)
-        before = len(fleet.trace.crashes)
+            await until(partial(count_quarantined, handle), 1)
+        crashes_before = len(fleet.trace.crashes)
         await fleet.repeat('/files/fatal', seconds=2.0)
-        assert len(fleet.trace.crashes) == before
+        assert len(fleet.trace.crashes) == crashes_before
 
 
 @pytest.mark.anyio
-async def test_operators_list_a_quarantine_and_lift_it(
+async def test_operators_list_and_lift_a_quarantine(
     handles: list[EntryProcessHandle],
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async with crashing_fleet(handles, tmp_path) as fleet:
         await fleet.repeat('/files/fatal', seconds=2.0)
-        await until(lambda: are_shut_out(handles[1]), 1)
-        (listed,) = await shut_out(handles[0])
+        await until(lambda: count_quarantined(handles[1]), 1)
+        (listed,) = await list_quarantined(handles[0])
         await anyio.to_thread.run_sync(Quarantine(node=f'http://{handles[0].metrics}'))
         assert str(listed['request']) in capsys.readouterr().out
         lift = Quarantine(node=f'http://{handles[0].metrics}', lift=str(listed['request']))
         await anyio.to_thread.run_sync(lift)
-        await until(lambda: are_shut_out(handles[1]), 0)
+        await until(lambda: count_quarantined(handles[1]), 0)
         quarantined = [line for line in handles[0].lines() if line['kind'] == 'quarantined']
         story = story_of(str(quarantined[-1]['request']), handles[0].lines())
         assert any('crashes=' in line and str(listed['request']) in line for line in story)
 
 
-CRASHING = Deployment(
+CRASHING_DEPLOYMENT = Deployment(
     name='crashing',
     regions=('ankara', 'izmir'),
     services=(
@@ -176,14 +179,14 @@
 
 
 @pytest.fixture
-def crashing(tmp_path: Path) -> Iterator[Cluster]:
-    cluster = bring_up(CRASHING, work_dir=tmp_path)
+def crashing_cluster(tmp_path: Path) -> Iterator[Cluster]:
+    cluster = bring_up(CRASHING_DEPLOYMENT, work_dir=tmp_path)
     yield cluster
     cluster.processes.stop_all()
 
 
-class OwnInterface:
-    """Repeats a request through the product's own interface."""
+class NodeApiClient:
+    """Repeats a request through the HTTP API of the nodes."""
 
     def __init__(self, *, cluster: Cluster) -> None:
         self._cluster = cluster
@@ -191,8 +194,8 @@
         self._down_since: dict[str, float] = {}
         self.crashes: list[float] = []
 
-    def watch(self) -> None:
-        """Count the endpoints that ended, and start them again after a while."""
+    def restart_crashed_endpoints(self) -> None:
+        """Record endpoints that crashed and restart them after a second."""
         now = time.monotonic()
         for name in self._cluster.endpoints_by_name:
             if self._processes.by_name[name].poll() is None:
@@ -205,23 +208,23 @@
                 self._processes.spawn_again(name)
 
     def repeat(self, path: str, *, seconds: float) -> None:
-        """Send a request again and again, at each instance in turn."""
+        """Send a request repeatedly, to each instance in turn."""
         entries = itertools.cycle(self._cluster.entries_by_name.values())
         end_at = time.monotonic() + seconds
         while time.monotonic() < end_at:
             httpx.get(f'{next(entries)}/v1/forward/case-desk/{path}', timeout=10)
-            self.watch()
-            time.sleep(REPEAT_EVERY_S)
+            self.restart_crashed_endpoints()
+            time.sleep(REPEAT_INTERVAL_S)
 
 
-def test_repeats_through_the_own_interface_stop_once_three_endpoints_have_crashed(
-    crashing: Cluster,
+def test_nodes_stop_sending_a_request_after_three_crashes(
+    crashing_cluster: Cluster,
 ) -> None:
-    own = OwnInterface(cluster=crashing)
-    own.repeat('fatal', seconds=PLAYED_S)
-    third = own.crashes[2]
-    assert sum(at > third + CONTACT_S for at in own.crashes) <= MAX_LATER
-    entry = next(iter(crashing.entries_by_name.values()))
+    client = NodeApiClient(cluster=crashing_cluster)
+    client.repeat('fatal', seconds=TEST_DURATION_S)
+    third = client.crashes[2]
+    assert sum(at > third + PROPAGATION_LIMIT_S for at in client.crashes) <= MAX_LATE_ARRIVALS
+    entry = next(iter(crashing_cluster.entries_by_name.values()))
     (listed,) = httpx.get(f'{entry}/v1/quarantine').json()
     Quarantine(node=f'{entry}/v1', lift=listed['request'])()
     assert httpx.get(f'{entry}/v1/quarantine').json() == []
