--- a/packages/node/src/plantainloft_node/quarantine/crashes.py
+++ b/packages/node/src/plantainloft_node/quarantine/crashes.py
@@ -116,8 +116,8 @@
     """Return which ``crashes`` of a request count against ``caller``.
 
     A request may crash endpoints only for one caller, or for all. If it did so for
-    several callers and none of them was answered, the crashes of all of them count
-    against every caller.
+    several callers and no caller was answered, all of these crashes count against
+    every caller.
     """
     counted = _without(crashes, Exemption.ALL_CALLERS)
     own = {key: crash for key, crash in counted.items() if key.caller == caller}
