--- a/packages/core/src/plantainloft_core/allowances.py
+++ b/packages/core/src/plantainloft_core/allowances.py
@@ -1,89 +1,102 @@
 """How much of each region's capacity each node may use at once.
 
-Nodes decide alone, and load reports lag or mislead, so nodes that each
-see the same free slots would fill them several times over. Instead each
-node claims part of every region's capacity (requests in flight) and the
-claims never add up to more:
-
-- half of the capacity is shared out once for all, by the number of entry
-  instances the configuration plans: each node's floor. It holds whatever
-  else fails.
-- the other half is claimed by need. A node's claim grows by its part of
-  what nobody claims, and only once every live peer has its present
-  claim; so claims that grew without knowing of each other still fit.
-- claims above the floor hold only while a node exchanges beats with more
-  than half of the planned nodes, and are taken up by others only some
-  time after their holder was found dead. A node that was cut off, or
-  frozen and woken, is back on its floor before that.
-
-Pure state: it is told what was heard and what time it is.
+Nodes decide independently, and load reports can be late or wrong. Nodes
+that see the same free slots would therefore fill them several times over.
+To prevent this, each node claims part of every region's capacity (requests
+in flight), and the claims never add up to more than that capacity:
+
+- Half of the capacity is divided statically by the number of entry
+  instances planned in the configuration. This is each node's guaranteed
+  capacity, which it keeps whatever else fails.
+- The other half is claimed on demand. A node's claim grows by the node's
+  share of the unclaimed capacity, and only after every live peer has
+  confirmed its current claim, so claims that grew concurrently still fit.
+- A claim above the guaranteed capacity is valid only while the node
+  exchanges heartbeats with more than half of the planned nodes. Other
+  nodes may take it over only some time after its holder was found dead.
+  A node that was partitioned, or paused and resumed, falls back to its
+  guaranteed capacity before that.
+
+The module does no I/O: callers pass in received messages and the time.
 """
 
 from collections.abc import Iterable, Mapping
 
 from plantainloft_core.model import Configuration
 
-__all__ = ['ClaimBook', 'floor_of']
+__all__ = ['ClaimBook', 'guaranteed_capacity']
 
-FLOOR_PART = 0.5
-HOME_PART = 0.8
-GROWTH_PART = 0.5
-FRESH_S = 2.0
-HOLD_S = 4.0
-SPARE_FACTOR = 1.5
-SPARE_SLOTS = 2.0
+GUARANTEED_FRACTION = 0.5
+HOME_REGION_FRACTION = 0.8
+CLAIM_GROWTH_FRACTION = 0.5
+HEARTBEAT_MAX_AGE_S = 2.0
+CLAIM_LEASE_S = 4.0
+DEMAND_MARGIN_FACTOR = 1.5
+DEMAND_MARGIN_SLOTS = 2.0
 
 
-def _weight(config: Configuration, region: str, *, home: str) -> float:
-    """Return this node's part (0..1) of ``region``; all nodes' add up to 1."""
-    planned = {name: place.entry_instances for name, place in config.regions_by_name.items()}
-    near = planned.get(region, 0)
-    far = sum(planned.values()) - near
-    if not far:
-        return 1.0 / max(1, near)
-    if not near:
-        return 1.0 / far
-    return HOME_PART / near if region == home else (1.0 - HOME_PART) / far
+def _node_share(config: Configuration, region: str, *, home: str) -> float:
+    """Return one node's share (0..1) of ``region``.
 
-
-def floor_of(config: Configuration, region: str, *, home: str) -> float:
-    """Return the requests a node homed in ``home`` may always have in ``region``."""
+    The shares of all planned nodes add up to 1.
+    """
+    planned = {
+        name: planned_region.entry_instances
+        for name, planned_region in config.regions_by_name.items()
+    }
+    local_nodes = planned.get(region, 0)
+    remote_nodes = sum(planned.values()) - local_nodes
+    if not remote_nodes:
+        return 1.0 / max(1, local_nodes)
+    if not local_nodes:
+        return 1.0 / remote_nodes
+    return (
+        HOME_REGION_FRACTION / local_nodes
+        if region == home
+        else (1.0 - HOME_REGION_FRACTION) / remote_nodes
+    )
+
+
+def guaranteed_capacity(config: Configuration, region: str, *, home: str) -> float:
+    """Return how many requests a node of region ``home`` may always run in ``region``."""
     capacity = config.regions_by_name[region].capacity
-    return capacity * FLOOR_PART * _weight(config, region, home=home)
+    return capacity * GUARANTEED_FRACTION * _node_share(config, region, home=home)
 
 
 class ClaimBook:
-    """One node's claims above its floors, and what it knows of the others'.
+    """One node's claims above its guaranteed capacity, and its peers' claims.
 
-    ``revision`` counts the growths of this node's claims. Times are
-    monotonic seconds of the caller's clock.
+    ``extra_by_region`` holds this node's claims. ``revision`` is incremented
+    each time one of them grows. Times are in seconds of the caller's
+    monotonic clock.
     """
 
     def __init__(self, *, home: str) -> None:
         self.extra_by_region: dict[str, float] = {}
         self.revision = 0
         self._home = home
-        self._extras_by_peer: dict[str, Mapping[str, float]] = {}
-        self._heard_at_by_peer: dict[str, float] = {}
-        self._known_revision_by_peer: dict[str, int] = {}
+        self._claims_by_peer: dict[str, Mapping[str, float]] = {}
+        self._last_heard_by_peer: dict[str, float] = {}
+        self._confirmed_revision_by_peer: dict[str, int] = {}
 
     def hear(self, peer: str, extra_by_region: Mapping[str, float], now: float) -> None:
-        """Note what ``peer`` claims above its floors, heard from itself."""
-        self._extras_by_peer[peer] = extra_by_region
-        self._heard_at_by_peer[peer] = now
+        """Record the claims that ``peer`` itself has sent."""
+        self._claims_by_peer[peer] = extra_by_region
+        self._last_heard_by_peer[peer] = now
 
     def confirm(self, peer: str, revision: int) -> None:
-        """Note that ``peer`` answered a beat that told it ``revision``."""
-        self._known_revision_by_peer[peer] = revision
+        """Record that ``peer`` answered a heartbeat that carried ``revision``."""
+        self._confirmed_revision_by_peer[peer] = revision
 
     def allowed(self, config: Configuration, region: str, now: float) -> float:
         """Return how many requests this node may have in flight in ``region``."""
-        floor = floor_of(config, region, home=self._home)
-        # AdmittedRequest at every use, not when the claim was made: a node that was
-        # frozen past its hold wakes up here, and others have what it had.
-        if not self._in_majority(config, now):
-            return floor
-        return floor + self.extra_by_region.get(region, 0.0)
+        guaranteed = guaranteed_capacity(config, region, home=self._home)
+        # The quorum is checked on every use, not only when the claim is made: a
+        # node that was paused for longer than CLAIM_LEASE_S resumes here, and its
+        # peers may have taken over its claim meanwhile.
+        if not self._has_quorum(config, now):
+            return guaranteed
+        return guaranteed + self.extra_by_region.get(region, 0.0)
 
     def adjust(
         self,
@@ -93,20 +106,24 @@
         live_peers: Iterable[str],
         now: float,
     ) -> None:
-        """Let claims follow the need: down at once, up when it is safe."""
-        if not self._in_majority(config, now):
+        """Adjust the claims to demand: lower them at once, raise them when safe."""
+        if not self._has_quorum(config, now):
             self.extra_by_region = {}
             return
-        may_grow = self._all_know(live_peers)
+        may_grow = self._all_peers_confirmed(live_peers)
         grown = False
         for region in config.regions_by_name:
-            floor = floor_of(config, region, home=self._home)
-            needed = needed_by_region.get(region, 0.0) * SPARE_FACTOR + SPARE_SLOTS
-            wanted = max(0.0, needed - floor)
+            guaranteed = guaranteed_capacity(config, region, home=self._home)
+            needed = needed_by_region.get(region, 0.0) * DEMAND_MARGIN_FACTOR + DEMAND_MARGIN_SLOTS
+            wanted = max(0.0, needed - guaranteed)
             held = self.extra_by_region.get(region, 0.0)
             if wanted > held and may_grow:
-                weight = _weight(config, region, home=self._home)
-                step = self._unclaimed(config, region, now) * GROWTH_PART * weight
+                node_share = _node_share(config, region, home=self._home)
+                step = (
+                    self._unclaimed_capacity(config, region, now)
+                    * CLAIM_GROWTH_FRACTION
+                    * node_share
+                )
                 grown = grown or step > 0
                 self.extra_by_region[region] = min(wanted, held + step)
             else:
@@ -114,19 +131,21 @@
         if grown:
             self.revision += 1
 
-    def _in_majority(self, config: Configuration, now: float) -> bool:
+    def _has_quorum(self, config: Configuration, now: float) -> bool:
         planned = sum(region.entry_instances for region in config.regions_by_name.values())
-        heard = [at for at in self._heard_at_by_peer.values() if now - at <= FRESH_S]
-        return (len(heard) + 1) * 2 > planned
+        fresh_heartbeats = [
+            at for at in self._last_heard_by_peer.values() if now - at <= HEARTBEAT_MAX_AGE_S
+        ]
+        return (len(fresh_heartbeats) + 1) * 2 > planned
 
-    def _all_know(self, live_peers: Iterable[str]) -> bool:
-        known = self._known_revision_by_peer
-        return all(known.get(peer, 0) == self.revision for peer in live_peers)
+    def _all_peers_confirmed(self, live_peers: Iterable[str]) -> bool:
+        confirmed = self._confirmed_revision_by_peer
+        return all(confirmed.get(peer, 0) == self.revision for peer in live_peers)
 
-    def _unclaimed(self, config: Configuration, region: str, now: float) -> float:
-        shared = config.regions_by_name[region].capacity * (1.0 - FLOOR_PART)
+    def _unclaimed_capacity(self, config: Configuration, region: str, now: float) -> float:
+        shared = config.regions_by_name[region].capacity * (1.0 - GUARANTEED_FRACTION)
         claimed = self.extra_by_region.get(region, 0.0)
-        for peer, extra_by_region in self._extras_by_peer.items():
-            if now - self._heard_at_by_peer[peer] <= HOLD_S:
+        for peer, extra_by_region in self._claims_by_peer.items():
+            if now - self._last_heard_by_peer[peer] <= CLAIM_LEASE_S:
                 claimed += extra_by_region.get(region, 0.0)
         return max(0.0, shared - claimed)
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -1,18 +1,18 @@
-"""No region overloaded: claims never add up to more than its capacity."""
+"""Nodes' claims on a region never add up to more than its capacity."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from plantainloft_core.allowances import HOLD_S, ClaimBook
+from plantainloft_core.allowances import CLAIM_LEASE_S, ClaimBook
 from plantainloft_core.model import Configuration, Region, build_configuration
 
 NODES = 6
 REGIONS = ('ankara', 'izmir')
 CAPACITY = 40
-INDEXES = st.integers(0, NODES - 1)
-# Death is found by probes that go unanswered, then by suspicion.
-DEATH_AFTER_S = 1.4
+NODE_INDEXES = st.integers(0, NODES - 1)
+# A peer is declared dead after unanswered probes and a period of suspicion.
+DEAD_AFTER_S = 1.4
 
 
 def _config() -> Configuration:
@@ -28,12 +28,13 @@
     )
 
 
-class ClaimsNeverExceedCapacity(RuleBasedStateMachine):
-    """Nodes beat, lose answers, are cut off, freeze and wake, and claim.
+class ClaimsStateMachine(RuleBasedStateMachine):
+    """Claims under lost answers, network partitions and paused nodes.
 
-    Symptom guarded: two nodes fill the same free slots. Sequences: growth
-    on both sides of a beat whose answer is lost; a side cut off keeps
-    what the other side takes up; a frozen node wakes and uses its claim.
+    Guards against two nodes filling the same free slots. This could happen
+    if the claims on both sides grow around a heartbeat whose answer is lost,
+    if one side of a partition keeps capacity that the other side takes over,
+    or if a paused node resumes and uses a claim that has lapsed.
     """
 
     def __init__(self) -> None:
@@ -41,8 +42,8 @@
         self.config = _config()
         self.now = 100.0
         self.books = [ClaimBook(home=REGIONS[index % 2]) for index in range(NODES)]
-        self.side = [0] * NODES
-        self.frozen: set[int] = set()
+        self.partition_by_node = [0] * NODES
+        self.paused: set[int] = set()
         self.last_heard: dict[tuple[int, int], float] = {}
 
     def _exchange(self, origin: int, other: int, *, answered: bool) -> None:
@@ -56,8 +57,12 @@
             self.last_heard[origin, other] = self.now
 
     def _connected(self, one: int, other: int) -> bool:
-        frozen = one in self.frozen or other in self.frozen
-        return one != other and not frozen and self.side[one] == self.side[other]
+        paused = one in self.paused or other in self.paused
+        return (
+            one != other
+            and not paused
+            and self.partition_by_node[one] == self.partition_by_node[other]
+        )
 
     def _live_peers(self, index: int) -> list[str]:
         return [
@@ -66,30 +71,30 @@
             if other != index
             and (
                 self._connected(index, other)
-                or self.now - self.last_heard.get((index, other), 0.0) < DEATH_AFTER_S
+                or self.now - self.last_heard.get((index, other), 0.0) < DEAD_AFTER_S
             )
         ]
 
     @initialize()
-    def all_meet(self) -> None:
-        self.everyone_beats()
+    def first_heartbeats(self) -> None:
+        self.all_heartbeats()
 
-    @rule(origin=INDEXES, other=INDEXES, answered=st.booleans())
-    def one_beat(self, origin: int, other: int, answered: bool) -> None:
+    @rule(origin=NODE_INDEXES, other=NODE_INDEXES, answered=st.booleans())
+    def one_heartbeat(self, origin: int, other: int, answered: bool) -> None:
         if self._connected(origin, other):
             self._exchange(origin, other, answered=answered)
 
     @rule()
-    def everyone_beats(self) -> None:
+    def all_heartbeats(self) -> None:
         self.now += 0.5
         for origin in range(NODES):
             for other in range(NODES):
                 if self._connected(origin, other):
                     self._exchange(origin, other, answered=True)
 
-    @rule(index=INDEXES, needed=st.sampled_from([0.0, 3.0, 15.0, 100.0]))
+    @rule(index=NODE_INDEXES, needed=st.sampled_from([0.0, 3.0, 15.0, 100.0]))
     def claim(self, index: int, needed: float) -> None:
-        if index not in self.frozen:
+        if index not in self.paused:
             self.books[index].adjust(
                 self.config,
                 needed_by_region=dict.fromkeys(REGIONS, needed),
@@ -97,32 +102,32 @@
                 now=self.now,
             )
 
-    @rule(sides=st.lists(st.integers(0, 1), min_size=NODES, max_size=NODES))
-    def cut(self, sides: list[int]) -> None:
-        self.side = sides
+    @rule(partition_by_node=st.lists(st.integers(0, 1), min_size=NODES, max_size=NODES))
+    def split_network(self, partition_by_node: list[int]) -> None:
+        self.partition_by_node = partition_by_node
 
-    @rule(index=INDEXES)
-    def freeze_or_wake(self, index: int) -> None:
-        self.frozen ^= {index}
+    @rule(index=NODE_INDEXES)
+    def pause_or_resume(self, index: int) -> None:
+        self.paused ^= {index}
 
-    @rule(seconds=st.sampled_from([0.3, 1.0, 2.5, HOLD_S + 0.1]))
+    @rule(seconds=st.sampled_from([0.3, 1.0, 2.5, CLAIM_LEASE_S + 0.1]))
     def wait(self, seconds: float) -> None:
         self.now += seconds
 
     @invariant()
-    def no_region_is_overbooked(self) -> None:
+    def claims_fit_region_capacity(self) -> None:
         for region in REGIONS:
             allowed = [book.allowed(self.config, region, self.now) for book in self.books]
             assert sum(allowed) <= CAPACITY + 1e-6
 
 
-ClaimsNeverExceedCapacity.TestCase.settings = settings(
+ClaimsStateMachine.TestCase.settings = settings(
     max_examples=150, stateful_step_count=60, deadline=None
 )
-TestClaims = ClaimsNeverExceedCapacity.TestCase
+TestClaims = ClaimsStateMachine.TestCase
 
 
-def test_a_busy_node_gets_most_of_what_nobody_uses() -> None:
+def test_busy_node_gets_most_of_the_unused_capacity() -> None:
     config = _config()
     books = [ClaimBook(home=REGIONS[index % 2]) for index in range(NODES)]
     now = 0.0
