--- a/packages/core/src/plantainloft_core/steering.py
+++ b/packages/core/src/plantainloft_core/steering.py
@@ -1,8 +1,8 @@
-"""Steering decisions: which endpoint takes the next request.
+"""Load-balancing policies: which endpoint receives the next request.
 
-The data flows one way: the node observes loads, a policy decides, the
-node forwards. Policies are pure functions of what they are given, so
-they can be tested and fuzzed without a network.
+The node observes loads, a policy picks an endpoint, and the node forwards
+the request. Policies do no I/O, so they can be tested and fuzzed without a
+network.
 """
 
 import abc
@@ -21,30 +21,30 @@
     'NearestRoundRobin',
     'RegionLimits',
     'SteeringPolicy',
-    'candidates_of',
+    'active_endpoints',
     'headroom',
     'is_known',
     'usable_slots',
 ]
 
-STALE_AFTER_S = 4.0
+REPORT_MAX_AGE_S = 4.0
 WARMUP_S = 10.0
-WARM_START_SHARE = 0.25
+COLD_START_SHARE = 0.25
 RETRY_AFTER_S = 1
-DRAWN = 2
+SAMPLE_SIZE = 2
 _SAME_ZONE = 0
 _SAME_REGION = 1
 _OTHER_REGION = 2
 
 
 class EndpointLoad(NamedTuple):
-    """What one node knows of one endpoint's load.
+    """What one node knows about the load of one endpoint.
 
-    ``local_inflight`` is exact (this node's own requests in flight);
-    ``reported_inflight`` comes from the endpoint's own report, which is
-    ``report_age_s`` old, or ``None`` when none has ever arrived.
-    ``known_for_s`` is how long the endpoint has been in service here.
-    ``draining`` is the endpoint's own word that it is leaving.
+    ``local_inflight`` is the exact number of this node's own requests in
+    flight. ``reported_inflight`` comes from the endpoint's last report, which
+    is ``report_age_s`` old; it is ``None`` if no report has arrived yet.
+    ``known_for_s`` is how long this node has known the endpoint, and
+    ``draining`` whether the endpoint reports that it is shutting down.
     """
 
     local_inflight: int
@@ -55,16 +55,16 @@
 
 
 class RegionLimits(NamedTuple):
-    """How much of each region this node may use (requests in flight).
+    """This node's requests in flight by region, and the most allowed.
 
-    Only regions in ``allowed_by_region`` may be chosen.
+    Regions that are missing from ``allowed_by_region`` may not be chosen.
     """
 
     own_by_region: Mapping[str, int]
     allowed_by_region: Mapping[str, float]
 
     def allows_one_more(self, region: str) -> bool:
-        """Say whether one more request may be sent to ``region``."""
+        """Return whether one more request may be sent to ``region``."""
         allowed = self.allowed_by_region.get(region, 0.0)
         return self.own_by_region.get(region, 0) + 1 <= allowed
 
@@ -75,10 +75,10 @@
     endpoint: Endpoint
 
 
-def candidates_of(
+def active_endpoints(
     config: Configuration, service: str, excluded: Collection[str] = ()
 ) -> list[Endpoint]:
-    """Return the endpoints of ``service`` that may take new work."""
+    """Return the active endpoints of ``service`` that are not ``excluded``."""
     endpoints = config.endpoints_by_service.get(service, ())
     return [ep for ep in endpoints if ep.state == 'active' and ep.name not in excluded]
 
@@ -92,7 +92,7 @@
 
 
 class SteeringPolicy(abc.ABC):
-    """Picks an endpoint for one request, or refuses it truthfully."""
+    """Picks an endpoint for a request, or refuses the request."""
 
     @abc.abstractmethod
     def choose(
@@ -107,14 +107,14 @@
     ) -> Choice | Refused:
         """Choose an endpoint of ``service`` for a caller in ``zone``.
 
-        Endpoints named in ``excluded`` are left out.
+        Endpoints named in ``excluded`` are never chosen.
         """
 
 
 class NearestRoundRobin(SteeringPolicy):
-    """Baseline: nearest tier with any endpoint, round robin inside it.
+    """Round robin among the nearest endpoints: same zone, region, or any.
 
-    It reads no load at all; it is here to be measured against.
+    This policy ignores load. It is the baseline for benchmarks.
     """
 
     def __init__(self) -> None:
@@ -131,42 +131,41 @@
         limits: RegionLimits | None = None,
     ) -> Choice | Refused:
         """Choose round robin among the nearest endpoints."""
-        endpoints = candidates_of(config, service, excluded)
+        endpoints = active_endpoints(config, service, excluded)
         if not endpoints:
             return Refused(reason='no endpoint', retry_after_s=RETRY_AFTER_S)
-        best = min(_tier(config, endpoint, zone) for endpoint in endpoints)
+        nearest_tier = min(_tier(config, endpoint, zone) for endpoint in endpoints)
         nearest = sorted(
-            (ep for ep in endpoints if _tier(config, ep, zone) == best),
+            (ep for ep in endpoints if _tier(config, ep, zone) == nearest_tier),
             key=lambda endpoint: endpoint.name,
         )
         return Choice(endpoint=nearest[next(self._turns) % len(nearest)])
 
 
 def is_known(load: EndpointLoad) -> bool:
-    """Say whether the endpoint's load was reported lately enough."""
-    return load.reported_inflight is not None and load.report_age_s <= STALE_AFTER_S
+    """Return whether the endpoint has reported its load recently."""
+    return load.reported_inflight is not None and load.report_age_s <= REPORT_MAX_AGE_S
 
 
 def usable_slots(endpoint: Endpoint, load: EndpointLoad) -> float:
     """Return how many requests ``endpoint`` may have in flight now.
 
-    A cold endpoint starts at a quarter of its slots and ramps to all of
-    them over ``WARMUP_S``: a large move onto cold caches is slow until
-    they warm, and the ramp keeps the move from landing all at once.
+    A new endpoint starts with a quarter of its slots and gets all of them
+    over ``WARMUP_S``. Requests are slow until its caches are warm, so a large
+    traffic shift must not reach it all at once.
     """
     warm = min(1.0, load.known_for_s / WARMUP_S)
-    share = WARM_START_SHARE + (1 - WARM_START_SHARE) * warm
+    share = COLD_START_SHARE + (1 - COLD_START_SHARE) * warm
     return max(1.0, endpoint.slots * share)
 
 
 def estimated_inflight(load: EndpointLoad) -> float:
-    """Return the requests believed in flight at the endpoint.
+    """Return the estimated number of requests in flight at the endpoint.
 
-    A report that stopped arriving is not calm: a stale or missing report
-    leaves only what this node knows of its own requests, and the caller
-    of this function then allows only one request at a time (see
-    ``headroom``), which one would notice as a low share for that endpoint
-    in the node's metrics.
+    A stale or missing report does not mean that the endpoint is idle. In that
+    case only this node's own requests are counted, and ``headroom`` allows
+    one request at a time, which shows as a low share of that endpoint in the
+    node's metrics.
     """
     if load.reported_inflight is None or not is_known(load):
         return float(load.local_inflight)
@@ -174,16 +173,16 @@
 
 
 def headroom(endpoint: Endpoint, load: EndpointLoad) -> float:
-    """Return free slots at ``endpoint`` as far as this node can tell."""
+    """Return this node's estimate of the free slots at ``endpoint``."""
     if load.draining:
         return 0
     if not is_known(load):
-        # Unknown load: allow a single probe request in flight, no more.
+        # The load is unknown: allow one request in flight as a probe.
         return 1.0 - load.local_inflight
     return usable_slots(endpoint, load) - estimated_inflight(load)
 
 
-_IDLE = EndpointLoad(
+_UNKNOWN_LOAD = EndpointLoad(
     local_inflight=0,
     reported_inflight=None,
     report_age_s=0,
@@ -192,17 +191,16 @@
 
 
 class HeadroomPolicy(SteeringPolicy):
-    """Nearest tier that has headroom, the better of two drawn, region-capped.
+    """Power of two choices by headroom, in the nearest tier that has some.
 
-    Keeps every region under its capacity: the sum of what is in flight
-    at a region's endpoints never passes the region's ``capacity``.
-    Where no endpoint anywhere has room it refuses at once with a
-    ``Retry-After``, so the caller is told when to come back.
+    The requests in flight at a region's endpoints never exceed the region's
+    ``capacity``. If no endpoint has a free slot, the request is refused at
+    once with a ``Retry-After``.
 
-    Reports lag, so all nodes see the same endpoint as the idlest for a
-    while. Taking it always would send all nodes' requests there, seen as
-    queueing at a few endpoints beside idle ones; of two drawn at random
-    the one with more headroom is almost as good and spreads them.
+    Load reports lag, so for a while all nodes see the same endpoint as the
+    least loaded. If every node chose it, requests would queue there while
+    other endpoints are idle. Taking the better of two random endpoints is
+    almost as good and spreads the requests.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -218,41 +216,41 @@
         excluded: Collection[str] = (),
         limits: RegionLimits | None = None,
     ) -> Choice | Refused:
-        """Choose an endpoint with headroom in the nearest tier."""
-        endpoints = candidates_of(config, service, excluded)
+        """Choose an endpoint in the nearest tier that has headroom."""
+        endpoints = active_endpoints(config, service, excluded)
         if not endpoints:
             return Refused(reason='no endpoint', retry_after_s=RETRY_AFTER_S)
-        open_regions = _open_regions(config, loads_by_endpoint, limits)
-        free_by_tier: dict[int, list[_Free]] = {}
+        usable_regions = _regions_below_limits(config, loads_by_endpoint, limits)
+        candidates_by_tier: dict[int, list[_Candidate]] = {}
         for endpoint in endpoints:
-            free = headroom(endpoint, loads_by_endpoint.get(endpoint.name, _IDLE))
-            if free >= 1 and endpoint.region in open_regions:
+            free = headroom(endpoint, loads_by_endpoint.get(endpoint.name, _UNKNOWN_LOAD))
+            if free >= 1 and endpoint.region in usable_regions:
                 tier = _tier(config, endpoint, zone)
-                free_by_tier.setdefault(tier, []).append(_Free(free, endpoint))
-        if not free_by_tier:
+                candidates_by_tier.setdefault(tier, []).append(_Candidate(free, endpoint))
+        if not candidates_by_tier:
             return Refused(reason='no headroom', retry_after_s=RETRY_AFTER_S)
-        nearest = free_by_tier[min(free_by_tier)]
-        drawn = self._rng.sample(nearest, k=min(DRAWN, len(nearest)))
-        # Drawn in random order, and the first of equals is taken.
-        return Choice(endpoint=max(drawn, key=_free_slots).endpoint)
+        nearest = candidates_by_tier[min(candidates_by_tier)]
+        sample = self._rng.sample(nearest, k=min(SAMPLE_SIZE, len(nearest)))
+        # The sample is in random order, so ties are broken at random.
+        return Choice(endpoint=max(sample, key=_candidate_slots).endpoint)
 
 
-class _Free(NamedTuple):
-    slots: float
+class _Candidate(NamedTuple):
+    free_slots: float
     endpoint: Endpoint
 
 
-def _free_slots(free: _Free) -> float:
-    return free.slots
+def _candidate_slots(candidate: _Candidate) -> float:
+    return candidate.free_slots
 
 
-def _open_regions(
+def _regions_below_limits(
     config: Configuration,
     loads_by_endpoint: Mapping[str, EndpointLoad],
     limits: RegionLimits | None,
 ) -> set[str]:
     """Return the regions that may take one more request."""
-    inflight_by_region = _region_inflight(config, loads_by_endpoint)
+    inflight_by_region = _inflight_by_region(config, loads_by_endpoint)
     return {
         name
         for name, region in config.regions_by_name.items()
@@ -261,7 +259,7 @@
     }
 
 
-def _region_inflight(
+def _inflight_by_region(
     config: Configuration,
     loads_by_endpoint: Mapping[str, EndpointLoad],
 ) -> dict[str, float]:
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -1,4 +1,4 @@
-"""Steering decisions: silence is not calm, regions are never overloaded."""
+"""Load balancing by headroom: stale load reports and region capacity."""
 
 import collections
 import random
@@ -39,7 +39,7 @@
     return HeadroomPolicy(rng=random.Random(1))
 
 
-def _warm(inflight: int, *, age_s: float = 0.1) -> EndpointLoad:
+def _reported_load(inflight: int, *, age_s: float = 0.1) -> EndpointLoad:
     return EndpointLoad(
         local_inflight=0,
         reported_inflight=inflight,
@@ -48,15 +48,15 @@
     )
 
 
-def test_endpoint_whose_reports_stopped_gets_one_request_at_most() -> None:
-    """Symptom: a silent endpoint looked idle and took a flood.
+def test_endpoint_with_stale_reports_gets_one_request_at_most() -> None:
+    """Guards against overloading an endpoint that has stopped reporting.
 
-    Sequence: reports from e0 stop; its last one said 0 in flight; the
-    node keeps sending. Cause guarded: an aged report read as calm.
+    The last report of e0 said 0 requests in flight. A policy that trusts a
+    stale report would take e0 for idle and keep sending to it.
     """
     config = _config(region_capacity=100)
     stale = EndpointLoad(local_inflight=1, reported_inflight=0, report_age_s=30, known_for_s=60)
-    loads = {'e0': stale, 'e1': _warm(4), 'e2': _warm(4), 'e3': _warm(4)}
+    loads = {'e0': stale, 'e1': _reported_load(4), 'e2': _reported_load(4), 'e3': _reported_load(4)}
     choice = _policy().choose(config, service='s', zone='ankara-a', loads_by_endpoint=loads)
     assert isinstance(choice, Refused)
 
@@ -65,24 +65,24 @@
     st.lists(st.integers(min_value=0, max_value=6), min_size=4, max_size=4),
     st.integers(1, 20),
 )
-def test_choice_never_pushes_a_region_past_its_capacity(inflight: list[int], capacity: int) -> None:
+def test_choice_never_exceeds_region_capacity(inflight: list[int], capacity: int) -> None:
     config = _config(region_capacity=capacity)
-    loads = {f'e{index}': _warm(value) for index, value in enumerate(inflight)}
+    loads = {f'e{index}': _reported_load(value) for index, value in enumerate(inflight)}
     choice = _policy().choose(config, service='s', zone='ankara-a', loads_by_endpoint=loads)
     if not isinstance(choice, Refused):
         assert sum(inflight) + 1 <= capacity
         assert inflight[int(choice.endpoint.name[1:])] < 4
 
 
-def test_nodes_with_the_same_lagging_view_spread_their_requests() -> None:
-    """Symptom: requests queue at one endpoint beside idle ones.
+def test_nodes_with_the_same_stale_view_spread_their_requests() -> None:
+    """Guards against requests queueing at one endpoint while others are idle.
 
-    Sequence: all endpoints report idle; twelve nodes each send a request
-    before the next report. Cause: the idlest by report, ties by name,
-    was the same endpoint for every node.
+    All endpoints report that they are idle, and twelve nodes send one request
+    each before the next report. If each node took the least loaded endpoint
+    and broke ties by name, all of them would choose the same one.
     """
     config = _config(region_capacity=100)
-    loads = {f'e{index}': _warm(0) for index in range(4)}
+    loads = {f'e{index}': _reported_load(0) for index in range(4)}
     chosen: collections.Counter[str] = collections.Counter()
     for node in range(12):
         policy = HeadroomPolicy(rng=random.Random(node))
