--- a/packages/core/src/plantainloft_core/shifting.py
+++ b/packages/core/src/plantainloft_core/shifting.py
@@ -1,10 +1,10 @@
-"""How a service's traffic is split over regions, moved within its cap.
+"""How a service's traffic is split over regions, and how fast that may change.
 
-Each node splits the requests it gets for a service over regions. The
-split may change by at most the service's shift cap within any
-``SHIFT_WINDOW_S``; requests sent outside the split count as moved too.
-Where every node keeps to this, so does the whole: the split of all
-traffic is the nodes' splits weighted by their traffic.
+Each node splits the requests that it receives for a service over regions.
+The split may change by at most the service's shift cap within any
+``SHIFT_WINDOW_S``. Requests sent outside the split count as moved as well.
+If every node respects the cap, the whole deployment does, because its split
+is the average of the nodes' splits weighted by their traffic.
 """
 
 import collections
@@ -14,14 +14,14 @@
 
 SHIFT_WINDOW_S = 10.0
 BUCKET_S = 0.5
-_NEGLIGIBLE = 1e-9
+_EPSILON = 1e-9
 
 
 class _WindowSum:
-    """A sum over the trailing shift window, kept in short buckets.
+    """A sum over the last ``SHIFT_WINDOW_S``, kept in time buckets.
 
     A bucket counts until all of it is older than the window, so the sum
-    is never less than that of the exact window.
+    is never below that of the exact window.
     """
 
     def __init__(self) -> None:
@@ -41,55 +41,55 @@
 
 
 class ServiceSplit:
-    """One node's split of one service: a share (0..1) by region.
+    """One node's split of one service: a share (0..1) for each region.
 
-    Times are monotonic seconds of the caller's clock.
+    Times are in seconds of the caller's monotonic clock.
     """
 
     def __init__(self, *, shares_by_region: Mapping[str, float]) -> None:
         self.shares_by_region = dict(shares_by_region)
         self._credit_by_region: dict[str, float] = {}
-        self._moved = _WindowSum()
-        self._requests = _WindowSum()
-        self._spilled = _WindowSum()
+        self._moved_share = _WindowSum()
+        self._request_count = _WindowSum()
+        self._spilled_count = _WindowSum()
 
     def budget(self, *, cap: float, now: float) -> float:
-        """Return the share that may still be moved within this window."""
-        requests = self._requests.total(now)
-        spilled = self._spilled.total(now) / requests if requests else 0.0
-        return max(0.0, cap - self._moved.total(now) - spilled)
+        """Return the share that may still be moved within the current window."""
+        requests = self._request_count.total(now)
+        spilled = self._spilled_count.total(now) / requests if requests else 0.0
+        return max(0.0, cap - self._moved_share.total(now) - spilled)
 
     def retarget(self, desired_by_region: Mapping[str, float], *, cap: float, now: float) -> float:
         """Move towards the desired split as far as the cap allows.
 
-        Returns the share moved. What remains is for later calls.
+        Returns the share that was moved. Later calls move the rest.
         """
         regions = self.shares_by_region.keys() | desired_by_region.keys()
         gaps = {
             region: desired_by_region.get(region, 0.0) - self.shares_by_region.get(region, 0.0)
             for region in regions
         }
-        wanted = sum(gap for gap in gaps.values() if gap > 0)
-        if wanted < _NEGLIGIBLE:
+        total_gap = sum(gap for gap in gaps.values() if gap > 0)
+        if total_gap < _EPSILON:
             return 0.0
-        part = min(1.0, self.budget(cap=cap, now=now) / wanted)
+        fraction = min(1.0, self.budget(cap=cap, now=now) / total_gap)
         for region in sorted(regions):
             self.shares_by_region[region] = (
-                self.shares_by_region.get(region, 0.0) + gaps[region] * part
+                self.shares_by_region.get(region, 0.0) + gaps[region] * fraction
             )
-        self._moved.add(wanted * part, now)
-        return wanted * part
+        self._moved_share.add(total_gap * fraction, now)
+        return total_gap * fraction
 
     def pick(self, now: float) -> str | None:
-        """Return the region of the next request, in smooth weighted turns.
+        """Return the region of the next request by smooth weighted round robin.
 
-        The number of requests sent to a region stays within one of its
-        share at any time, so the split holds for short windows as well.
+        The number of requests sent to a region never differs from its share
+        by more than one, so the split holds over short windows as well.
         """
         shares = {region: share for region, share in self.shares_by_region.items() if share > 0}
         if not shares:
             return None
-        self._requests.add(1, now)
+        self._request_count.add(1, now)
         for region, share in shares.items():
             self._credit_by_region[region] = self._credit_by_region.get(region, 0.0) + share
         chosen = max(sorted(shares), key=lambda region: self._credit_by_region[region])
@@ -99,11 +99,11 @@
     def try_spill(self, *, cap: float, now: float) -> bool:
         """Count one request sent outside the split, if the cap allows it.
 
-        A short burst is carried elsewhere without moving the split; one
-        request spilled is one request moved.
+        This lets other regions absorb a short burst without a change of the
+        split. Each spilled request uses up the cap like a moved one.
         """
-        requests = self._requests.total(now)
+        requests = self._request_count.total(now)
         if not requests or self.budget(cap=cap, now=now) < 1 / requests:
             return False
-        self._spilled.add(1, now)
+        self._spilled_count.add(1, now)
         return True
