--- a/packages/core/src/plantainloft_core/planning.py
+++ b/packages/core/src/plantainloft_core/planning.py
@@ -1,8 +1,9 @@
-"""The split of a service over regions that a node should move towards.
+"""The target split of a service's traffic over regions.
 
-Home first: a node's callers are near its own region. Elsewhere only
-what home can't take: an evacuating or lost region takes nothing, a
-region that refuses for lack of headroom gives up the refused part.
+A node prefers its home region, because its callers are near it. Other
+regions get only what the home region cannot take. An evacuating or lost
+region gets nothing, and a region that refuses requests for lack of headroom
+loses the refused share.
 """
 
 from collections.abc import Mapping
@@ -12,17 +13,17 @@
 
 __all__ = ['RegionView', 'desired_shares', 'view_regions']
 
-RETURN_SPARE = 0.3
-RETURN_STEP = 0.05
-REFUSED_TOLERANCE = 0.01
+RETURN_HOME_MIN_FREE_FRACTION = 0.3
+RETURN_HOME_STEP_SHARE = 0.05
+MAX_REFUSED_SHARE = 0.01
 
 
 class RegionView(NamedTuple):
-    """What a node sees of one service in one region.
+    """What a node knows about one service in one region.
 
-    ``slots`` are those it believes usable now, ``free`` the part of them
-    not in use; ``refused_share`` (0..1) of the requests lately sent there
-    found no headroom.
+    ``slots`` is the number of usable slots and ``free`` how many of them are
+    not in use. ``refused_share`` (0..1) is the share of recent requests to the
+    region that found no headroom.
     """
 
     slots: float
@@ -38,9 +39,9 @@
     free_by_endpoint: Mapping[str, float],
     refused_by_region: Mapping[str, float],
 ) -> dict[str, RegionView]:
-    """Sum the service's endpoints into a view of each region.
+    """Aggregate the service's endpoints by region.
 
-    Regions without a usable slot, and evacuating ones, are left out.
+    Evacuating regions and regions without a usable slot are left out.
     """
     slots_by_region: dict[str, float] = {}
     free_by_region: dict[str, float] = {}
@@ -66,60 +67,68 @@
     *,
     home: str,
 ) -> dict[str, float]:
-    """Return the split to move towards; the current one if nothing is usable.
+    """Return the target split, or the current one if no region is usable.
 
-    With nothing usable anywhere there is no better place, and moving
-    would only use up the budget needed when something comes back.
+    If no region is usable, moving would gain nothing and would use up the
+    shift budget that is needed once a region recovers.
     """
     if not views_by_region:
         return dict(current_by_region)
-    kept = {
-        region: _kept_share(share, views_by_region.get(region))
+    shares = {
+        region: _retained_share(share, views_by_region.get(region))
         for region, share in current_by_region.items()
     }
-    to_place = 1.0 - sum(kept.values())
+    unplaced = 1.0 - sum(shares.values())
     home_view = views_by_region.get(home)
-    if home_view is not None and _has_room(home_view):
-        returned = min(RETURN_STEP, 1.0 - kept.get(home, 0.0))
-        # Brought home first from what must be placed anyway, then from
-        # the regions that took it over.
-        from_others = max(0.0, returned - to_place)
-        kept = _taken(kept, from_others, spare=home)
-        to_place = max(0.0, to_place - returned)
-        kept[home] = kept.get(home, 0.0) + returned
+    if home_view is not None and _can_take_back(home_view):
+        returned_share = min(RETURN_HOME_STEP_SHARE, 1.0 - shares.get(home, 0.0))
+        # Traffic that must be placed anyway goes home first, and then traffic
+        # of the other regions.
+        from_others = max(0.0, returned_share - unplaced)
+        shares = _reduce_others(shares, from_others, keep=home)
+        unplaced = max(0.0, unplaced - returned_share)
+        shares[home] = shares.get(home, 0.0) + returned_share
     weights = _weights(views_by_region)
     total = sum(weights.values())
     for region, weight in weights.items():
-        kept[region] = kept.get(region, 0.0) + to_place * weight / total
-    return kept
+        shares[region] = shares.get(region, 0.0) + unplaced * weight / total
+    return shares
 
 
-def _kept_share(share: float, view: RegionView | None) -> float:
+def _retained_share(share: float, view: RegionView | None) -> float:
     if view is None:
         return 0.0
-    if view.refused_share <= REFUSED_TOLERANCE:
+    if view.refused_share <= MAX_REFUSED_SHARE:
         return share
     return share * (1.0 - view.refused_share)
 
 
-def _has_room(view: RegionView) -> bool:
-    return view.refused_share <= REFUSED_TOLERANCE and view.free >= view.slots * RETURN_SPARE
+def _can_take_back(view: RegionView) -> bool:
+    return (
+        view.refused_share <= MAX_REFUSED_SHARE
+        and view.free >= view.slots * RETURN_HOME_MIN_FREE_FRACTION
+    )
 
 
-def _taken(shares: Mapping[str, float], amount: float, *, spare: str) -> dict[str, float]:
-    others = sum(share for region, share in shares.items() if region != spare)
+def _reduce_others(shares: Mapping[str, float], amount: float, *, keep: str) -> dict[str, float]:
+    others = sum(share for region, share in shares.items() if region != keep)
     if others <= 0:
         return dict(shares)
-    part = max(0.0, 1.0 - amount / others)
-    return {region: share if region == spare else share * part for region, share in shares.items()}
+    fraction = max(0.0, 1.0 - amount / others)
+    return {
+        region: share if region == keep else share * fraction for region, share in shares.items()
+    }
 
 
 def _weights(views_by_region: Mapping[str, RegionView]) -> dict[str, float]:
-    """Weigh regions by free slots; by slots when none has any free."""
-    calm = {name: view for name, view in views_by_region.items() if not _refuses(view)}
-    free = {name: view.free for name, view in calm.items() if view.free > 0}
+    """Return the regions' weights: their free slots, or all slots if none are free.
+
+    Regions that refuse requests have no weight while another has free slots.
+    """
+    accepting = {name: view for name, view in views_by_region.items() if not _is_refusing(view)}
+    free = {name: view.free for name, view in accepting.items() if view.free > 0}
     return free or {name: view.slots for name, view in views_by_region.items()}
 
 
-def _refuses(view: RegionView) -> bool:
-    return view.refused_share > REFUSED_TOLERANCE
+def _is_refusing(view: RegionView) -> bool:
+    return view.refused_share > MAX_REFUSED_SHARE
--- a/tests/test_shifting.py
+++ b/tests/test_shifting.py
@@ -1,4 +1,4 @@
-"""The shift cap: no window of time moves more of a service than its cap."""
+"""The shift cap limits how much of a service's traffic moves per window."""
 
 import collections
 
@@ -13,74 +13,81 @@
 from plantainloft_core.table_client import TableClient
 
 REGIONS = ('ankara', 'istanbul', 'izmir')
-PER_SECOND = 40
-WINDOW = int(SHIFT_WINDOW_S * PER_SECOND)
-IDLE = RegionView(slots=20.0, free=20.0, refused_share=0.0)
+REQUESTS_PER_S = 40
+WINDOW_REQUESTS = int(SHIFT_WINDOW_S * REQUESTS_PER_S)
+IDLE_REGION = RegionView(slots=20.0, free=20.0, refused_share=0.0)
 
 
-def _moved(before: list[str], after: list[str]) -> float:
+def _moved_share(before: list[str], after: list[str]) -> float:
     """Return the share of requests that changed region between two windows."""
     old, new = collections.Counter(before), collections.Counter(after)
     return sum(max(0, old[region] - new[region]) for region in old) / len(before)
 
 
-def _worst_move(sent: list[str]) -> float:
-    starts = range(0, len(sent) - 2 * WINDOW + 1, PER_SECOND // 4)
-    return max(_moved(sent[at : at + WINDOW], sent[at + WINDOW : at + 2 * WINDOW]) for at in starts)
+def _largest_move(sent: list[str]) -> float:
+    starts = range(0, len(sent) - 2 * WINDOW_REQUESTS + 1, REQUESTS_PER_S // 4)
+    return max(
+        _moved_share(
+            sent[at : at + WINDOW_REQUESTS], sent[at + WINDOW_REQUESTS : at + 2 * WINDOW_REQUESTS]
+        )
+        for at in starts
+    )
 
 
 @settings(max_examples=30)
 @given(
     cap=st.sampled_from([0.05, 0.15, 0.2, 0.5]),
-    lost=st.lists(st.sets(st.sampled_from(REGIONS), max_size=2), min_size=3, max_size=6),
+    lost_by_period=st.lists(st.sets(st.sampled_from(REGIONS), max_size=2), min_size=3, max_size=6),
     full_share=st.sampled_from([0.0, 0.4]),
 )
 def test_no_two_windows_differ_by_more_than_the_cap(
-    cap: float, lost: list[set[str]], full_share: float
+    cap: float, lost_by_period: list[set[str]], full_share: float
 ) -> None:
-    """Symptom: a failover lands a region's whole traffic on cold caches.
+    """Guards against a failover that moves all traffic onto cold caches.
 
-    Sequence: regions are lost and come back every few seconds, home is
-    full at times and requests spill. Cause guarded: moves, moves back and
-    spilled requests not counted together.
+    Regions fail and recover every few seconds, and the home region is full at
+    times, so that requests spill. The cap would be exceeded if moves, moves
+    back and spilled requests were not counted together.
     """
     split = ServiceSplit(shares_by_region={'ankara': 1.0})
     sent: list[str] = []
     for period in range(24):
-        gone = lost[period % len(lost)]
-        full = RegionView(slots=20.0, free=0.0, refused_share=full_share)
-        views = {region: IDLE for region in REGIONS if region not in gone}
+        lost_regions = lost_by_period[period % len(lost_by_period)]
+        full_region = RegionView(slots=20.0, free=0.0, refused_share=full_share)
+        views = {region: IDLE_REGION for region in REGIONS if region not in lost_regions}
         if full_share and 'ankara' in views:
-            views['ankara'] = full
-        for step in range(4 * PER_SECOND):
-            now = 100.0 + period * 4 + step / PER_SECOND
-            if step % (PER_SECOND // 2) == 0:
+            views['ankara'] = full_region
+        for step in range(4 * REQUESTS_PER_S):
+            now = 100.0 + period * 4 + step / REQUESTS_PER_S
+            if step % (REQUESTS_PER_S // 2) == 0:
                 desired = desired_shares(split.shares_by_region, views, home='ankara')
                 split.retarget(desired, cap=cap, now=now)
             region = split.pick(now)
             assert region is not None
-            if region in gone and views and split.try_spill(cap=cap, now=now):
+            if region in lost_regions and views and split.try_spill(cap=cap, now=now):
                 region = next(iter(views))
             sent.append(region)
-    # One request of rounding per region on either side of the boundary.
-    assert _worst_move(sent) <= cap + 2 * len(REGIONS) / WINDOW
+    # Rounding adds up to one request per region on either side of the boundary.
+    assert _largest_move(sent) <= cap + 2 * len(REGIONS) / WINDOW_REQUESTS
 
 
 def test_shares_always_add_up_to_one() -> None:
     shares = desired_shares(
-        {'ankara': 0.5, 'izmir': 0.5}, {'ankara': IDLE, 'istanbul': IDLE}, home='ankara'
+        {'ankara': 0.5, 'izmir': 0.5},
+        {'ankara': IDLE_REGION, 'istanbul': IDLE_REGION},
+        home='ankara',
     )
     assert abs(sum(shares.values()) - 1.0) < 1e-9
     assert 'izmir' not in shares or shares['izmir'] == 0
 
 
 @pytest.mark.anyio
-async def test_drain_cut_into_small_patches_is_refused_as_a_whole(client: TableClient) -> None:
-    """Symptom: a script drains a region endpoint by endpoint in a second.
+async def test_drain_in_many_small_patches_is_limited_by_the_cap(client: TableClient) -> None:
+    """Guards against draining a region in many small patches within a second.
 
-    Sequence: each patch displaces less than the cap, all of them together
-    far more, within one shift window. Cause guarded: a patch compared
-    only with the version just before it.
+    Each patch displaces less than the cap, but all of them together displace
+    far more within one shift window. Comparing a patch only with the version
+    just before it would let them all pass.
     """
     zones = {'ankara': 'ankara-a', 'izmir': 'izmir-a'}
     document = {
