--- a/packages/core/src/plantainloft_core/committing.py
+++ b/packages/core/src/plantainloft_core/committing.py
@@ -1,9 +1,9 @@
 """Commit an operator's patch as the next numbered version.
 
-A patch against version N is one transaction conditioned on
-``config/head`` being at N, so of two operators racing on N exactly one
-commits; this is the optimistic commit against a numbered state of the
-paper "Many Schedulers, One Commit Loop".
+A patch against version N is one transaction on the condition that
+``config/head`` is at N, so if two operators submit against N at the same
+time, exactly one of them commits. This is the optimistic concurrency control
+described in the paper "Many Schedulers, One Commit Loop".
 """
 
 import logging
@@ -34,7 +34,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WINDOW_CHANGES = 20
+MAX_CHANGES_PER_WINDOW = 20
 
 
 async def commit_patch(
@@ -47,11 +47,11 @@
 ) -> Committed | Conflict | Invalid | Unreachable:
     """Commit ``patch`` against version ``against`` as version against+1.
 
-    Refused as ``Invalid`` when it would move more of a service's traffic
-    between regions at once than the service's shift cap. ``change_id``
-    must be unique per change: when the table applies the write but its
-    answer is lost, re-reading the new version's row and finding this id
-    is how the commit is known to have happened.
+    Returns ``Invalid`` if the patch would move more of a service's traffic
+    between regions at once than the service's shift cap allows. ``change_id``
+    must be unique per change. If the table's response is lost, the row of the
+    new version is read back, and this ID in it shows that the commit was
+    applied.
     """
     head = await read_head(client)
     if isinstance(head, Unreachable):
@@ -68,9 +68,9 @@
     patched = apply_patch(document, patch, version=against + 1)
     if isinstance(patched, Invalid):
         return patched
-    refusal = await _refuse_shift(client, current=current, new=patched[1])
-    if refusal is not None:
-        return refusal
+    rejection = await _check_shift_cap(client, current=current, new=patched[1])
+    if rejection is not None:
+        return rejection
     change = Change(
         number=against + 1,
         patch=patch,
@@ -84,34 +84,34 @@
     return outcome
 
 
-async def _refuse_shift(
+async def _check_shift_cap(
     client: TableClient, *, current: Configuration, new: Configuration
 ) -> Invalid | Unreachable | None:
-    """Refuse what moves more than the cap within one shift window.
+    """Reject a configuration that moves more than the cap within one shift window.
 
-    Measured against the version in force a window ago, not only the
-    current one: a move cut into many small patches submitted at once
-    would otherwise pass whole.
+    The new configuration is compared with the one that was current a window
+    ago. Compared with the latest one only, a large move could pass as many
+    small patches.
     """
-    base = await _version_a_window_ago(client, current=current)
+    base = await _config_before_window(client, current=current)
     if isinstance(base, Unreachable | Invalid):
         return base
     problems = check_shift(base, new)
     return Invalid(problems=problems) if problems else None
 
 
-async def _version_a_window_ago(
+async def _config_before_window(
     client: TableClient, *, current: Configuration
 ) -> Configuration | Unreachable | Invalid:
-    since = time.time() - SHIFT_WINDOW_S
+    window_start = time.time() - SHIFT_WINDOW_S
     number = current.version
-    for _ in range(MAX_WINDOW_CHANGES):
+    for _ in range(MAX_CHANGES_PER_WINDOW):
         if number <= 1:
             break
         change = await read_change(client, number)
         if isinstance(change, Unreachable | Invalid):
             return change
-        if change.committed_at < since:
+        if change.committed_at < window_start:
             break
         number -= 1
     if number == current.version:
@@ -130,7 +130,7 @@
     if isinstance(outcome, TxnConflict):
         return Conflict(current_version=outcome.versions_by_key[HEAD_KEY])
     if isinstance(outcome, LostAnswer):
-        return await _settle_lost_answer(client, against=against, change_id=change.change_id)
+        return await _resolve_lost_answer(client, against=against, change_id=change.change_id)
     if isinstance(outcome, Unreachable):
         return outcome
     return Committed(version=change.number)
@@ -140,24 +140,26 @@
     packed = msgpack.packb(snapshot.document)
     stored = await client.put_object(snapshot_key(snapshot.number), packed)
     if isinstance(stored, Unreachable):
-        # Not a failure of the commit: readers replay from an older one.
-        log.warning('Versions: snapshot %s not stored (%s).', snapshot.number, stored.reason)
+        # The commit is still valid: readers start from an older snapshot.
+        log.warning('Versions: cannot store snapshot %s: %s.', snapshot.number, stored.reason)
 
 
-async def _settle_lost_answer(
+async def _resolve_lost_answer(
     client: TableClient,
     *,
     against: int,
     change_id: str,
 ) -> Committed | Conflict | Unreachable:
-    # The write may have taken effect with its answer lost. Reading back
-    # the row it would have made tells which: our change id there means
-    # committed; another id means someone else won; no row, not committed.
+    # The write may have been applied. Read back the row that it creates: our
+    # change ID means that it was committed, another ID that a concurrent change
+    # won, and no row that it is not committed yet.
     row = await client.get(version_key(against + 1))
     if isinstance(row, Unreachable):
-        return Unreachable(reason='commit answer lost; outcome unknown')
+        return Unreachable(reason='response to the commit was lost; its outcome is unknown')
     if row is None:
-        return Unreachable(reason='commit answer lost; not yet committed, may still be')
+        return Unreachable(
+            reason='response to the commit was lost; it is not applied yet, but still may be'
+        )
     if row.value['change_id'] == change_id:
         return Committed(version=against + 1)
     return Conflict(current_version=against + 1)
--- a/packages/core/src/plantainloft_core/versions.py
+++ b/packages/core/src/plantainloft_core/versions.py
@@ -1,12 +1,13 @@
-"""Numbered configuration versions, kept only in the platform's service.
+"""Read numbered configuration versions from the platform's table service.
 
-Rows: ``config/head`` (its row version is the configuration version in
-force) and ``config/v/{n}`` holding the patch that made version n, its
-author and a change id. Every ``SNAPSHOT_EVERY`` versions the whole
-document goes to the object store as ``config/snapshot/{n}`` (msgpack);
-a reader takes the newest snapshot and the patches after it.
+Configuration is stored only in the platform's services.
+The version of the row ``config/head`` is the current configuration version.
+The row ``config/v/{n}`` holds the patch that created version n, its author
+and a change ID. Every ``SNAPSHOT_EVERY`` versions, the whole document is
+stored in the object store as ``config/snapshot/{n}`` (msgpack). A reader
+loads the newest snapshot and applies the patches that follow it.
 
-This module reads; ``committing`` writes.
+Versions are written by ``committing``.
 """
 
 from typing import Any, NamedTuple
@@ -38,9 +39,9 @@
 
 
 class Change(NamedTuple):
-    """One stored change: the patch that made version ``number``.
+    """A stored change: the patch that created version ``number``.
 
-    ``committed_at`` is Unix time in seconds by the submitter's clock.
+    ``committed_at`` is the Unix time in seconds on the submitter's clock.
     """
 
     number: int
@@ -51,14 +52,14 @@
 
 
 class Snapshot(NamedTuple):
-    """A whole document as of version ``number``."""
+    """The whole configuration document at version ``number``."""
 
     number: int
     document: dict[str, Any]
 
 
 class Version(NamedTuple):
-    """One version: its document, its typed form and the change that made it."""
+    """A version: its document, the parsed form and the change that created it."""
 
     document: dict[str, Any]
     config: Configuration
@@ -66,17 +67,17 @@
 
 
 def version_key(number: int) -> str:
-    """Return the table key of version ``number``."""
+    """Return the key of the table row of version ``number``."""
     return f'config/v/{number:010d}'
 
 
 def snapshot_key(number: int) -> str:
-    """Return the object store's key of the document of version ``number``."""
+    """Return the object store key of the snapshot of version ``number``."""
     return f'config/snapshot/{number:010d}'
 
 
 async def read_head(client: TableClient) -> int | Unreachable:
-    """Return the number of the version in force, 0 before the first."""
+    """Return the number of the current version, 0 if there is none yet."""
     row = await client.get(HEAD_KEY)
     if isinstance(row, Unreachable):
         return row
@@ -84,12 +85,12 @@
 
 
 async def read_change(client: TableClient, number: int) -> Change | Unreachable | Invalid:
-    """Return the change that made version ``number``."""
+    """Return the change that created version ``number``."""
     row = await client.get(version_key(number))
     if isinstance(row, Unreachable):
         return row
     if row is None:
-        return Invalid(problems=(f'version {number} is missing',))
+        return Invalid(problems=(f'version {number} does not exist',))
     return Change(number=number, **row.value)
 
 
@@ -107,22 +108,22 @@
 
 
 async def read_snapshot(client: TableClient, *, at_most: int) -> Snapshot | Unreachable:
-    """Return the newest stored document not above version ``at_most``."""
+    """Return the newest snapshot whose version is at most ``at_most``."""
     number = at_most - at_most % SNAPSHOT_EVERY
     while number > 0:
-        stored = await client.get_object(snapshot_key(number))
-        if isinstance(stored, Unreachable):
-            return stored
-        if stored is not None:
-            return Snapshot(number=number, document=msgpack.unpackb(stored))
-        # The object store was down when this one was due: the one before
-        # it and more patches lead to the same document.
+        packed = await client.get_object(snapshot_key(number))
+        if isinstance(packed, Unreachable):
+            return packed
+        if packed is not None:
+            return Snapshot(number=number, document=msgpack.unpackb(packed))
+        # The object store was down when this snapshot was due. The previous
+        # one and more patches result in the same document.
         number -= SNAPSHOT_EVERY
     return Snapshot(number=0, document={})
 
 
 async def read_version(client: TableClient, number: int) -> Version | Unreachable | Invalid:
-    """Return version ``number``: the newest snapshot plus its patches."""
+    """Return version ``number``, built from the newest snapshot and patches."""
     snapshot = await read_snapshot(client, at_most=number)
     if isinstance(snapshot, Unreachable):
         return snapshot
@@ -132,10 +133,10 @@
     document = replay(snapshot.document, [change.patch for change in changes])
     if isinstance(document, Invalid):
         return document
-    checked = parse_configuration(document, version=number)
-    if isinstance(checked, Invalid):
-        return checked
-    made_by = changes[-1] if changes else await read_change(client, number)
-    if isinstance(made_by, Unreachable | Invalid):
-        return made_by
-    return Version(document=document, config=checked, change=made_by)
+    config = parse_configuration(document, version=number)
+    if isinstance(config, Invalid):
+        return config
+    change = changes[-1] if changes else await read_change(client, number)
+    if isinstance(change, Unreachable | Invalid):
+        return change
+    return Version(document=document, config=config, change=change)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Configuration versions: races of operators, lost answers, checking."""
+"""Configuration versions: concurrent commits, lost responses and validation."""
 
 import anyio
 import pytest
@@ -12,7 +12,7 @@
 
 pytestmark = pytest.mark.anyio
 
-REGION = [
+ADD_REGION = [
     {
         'op': 'add',
         'path': '/regions',
@@ -21,20 +21,20 @@
 ]
 
 
-def _service(name: str) -> list[dict[str, object]]:
+def _add_service(name: str) -> list[dict[str, object]]:
     return [{'op': 'add', 'path': '/services', 'value': {name: {'shift_cap': 0.1}}}]
 
 
-async def test_two_operators_racing_on_one_version_one_commits(
+async def test_concurrent_commits_against_one_version_commit_once(
     client: TableClient,
 ) -> None:
-    """Symptom: two patches against the same version could both apply.
+    """Guards against two patches against the same version that both apply.
 
-    Sequence: version 1 is in force; two operators submit against 1 at
-    the same moment. Cause guarded: a read-then-write without a condition.
+    Two operators submit against version 1 at the same time. Both would commit
+    if the version were read and then written without a condition.
     """
     assert await commit_patch(
-        client, against=0, patch=REGION, author='a', change_id='c0'
+        client, against=0, patch=ADD_REGION, author='a', change_id='c0'
     ) == Committed(version=1)
     outcomes: list[object] = []
 
@@ -43,7 +43,7 @@
             await commit_patch(
                 client,
                 against=1,
-                patch=_service(name),
+                patch=_add_service(name),
                 author=name,
                 change_id=name,
             )
@@ -58,29 +58,33 @@
     assert await read_head(client) == 2
 
 
-async def test_commit_whose_answer_is_lost_is_known_committed(
+async def test_commit_with_lost_response_is_reported_committed(
     client: TableClient, table: TableService
 ) -> None:
-    """Symptom: an operator told 'failed' for a change that took effect.
+    """Guards against reporting a failure for a change that was applied.
 
-    Sequence: the table applies the commit and loses its answer. Cause
-    guarded: trusting the answer; the change id read back settles it.
+    The table applies the commit, but its response is lost. The change ID that
+    is read back shows that the commit was applied.
     """
     table.faults = Faults(mode='lose_answer')
-    outcome = await commit_patch(client, against=0, patch=REGION, author='a', change_id='lost-1')
+    outcome = await commit_patch(
+        client, against=0, patch=ADD_REGION, author='a', change_id='lost-1'
+    )
     table.faults = Faults()
     assert outcome == Committed(version=1)
 
 
-async def test_table_down_is_unreachable_not_conflict(
+async def test_commit_while_table_is_down_is_unreachable(
     client: TableClient, table: TableService
 ) -> None:
     table.faults = Faults(mode='down')
-    outcome = await commit_patch(client, against=0, patch=REGION, author='a', change_id='down-1')
+    outcome = await commit_patch(
+        client, against=0, patch=ADD_REGION, author='a', change_id='down-1'
+    )
     assert isinstance(outcome, Unreachable)
 
 
-async def test_patch_breaking_schema_is_refused_with_every_problem(
+async def test_patch_violating_schema_reports_every_problem(
     client: TableClient,
 ) -> None:
     patch = [
