--- a/packages/core/src/plantainloft_core/http_errors.py
+++ b/packages/core/src/plantainloft_core/http_errors.py
@@ -1,9 +1,9 @@
-"""What an HTTP client's errors prove about the request."""
+"""Classification of HTTP client errors."""
 
 import httpx
 
 __all__ = ['NEVER_SENT']
 
-# No connection was had, so nothing of the request left this process: it
-# cannot have run. Any other error may come after the other side ran it.
+# No connection was established, so no part of the request was sent and it
+# cannot have been executed. Any other error may follow its execution.
 NEVER_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
--- a/packages/core/src/plantainloft_core/table_client.py
+++ b/packages/core/src/plantainloft_core/table_client.py
@@ -1,8 +1,8 @@
 """Client of the platform's transactional table service (JSON over HTTP).
 
-Every call returns a value: the rows asked for, or ``Unreachable``. A
-transaction whose answer is lost returns ``LostAnswer``, a kind of
-``Unreachable``, since the write may have taken effect.
+Calls do not raise on HTTP errors: they return the result or ``Unreachable``.
+A transaction whose response is lost returns ``LostAnswer``, a subclass of
+``Unreachable``, because the write may have taken effect.
 """
 
 from typing import Any, NamedTuple
@@ -20,7 +20,7 @@
 
 
 class Row(NamedTuple):
-    """One row: its key, its version (counts writes) and its value."""
+    """A table row; its ``version`` is incremented by each write."""
 
     key: str
     version: int
@@ -28,23 +28,23 @@
 
 
 class TxnDone(NamedTuple):
-    """A transaction took effect; ``versions_by_key`` are the new ones."""
+    """The transaction was applied; ``versions_by_key`` are the new row versions."""
 
     versions_by_key: dict[str, int]
 
 
 class TxnConflict(NamedTuple):
-    """A condition failed; ``versions_by_key`` are the rows' current ones."""
+    """A condition failed; ``versions_by_key`` are the current row versions."""
 
     versions_by_key: dict[str, int]
 
 
 class LostAnswer(Unreachable):
-    """A write was sent and its answer lost: it may have taken effect."""
+    """A write was sent but its response was lost; it may have been applied."""
 
 
 class TableClient:
-    """Talks to the table service at ``base_url`` with a timeout per call."""
+    """HTTP client of the table service at ``base_url``."""
 
     def __init__(
         self,
@@ -60,11 +60,11 @@
         )
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the HTTP connections."""
         await self._http.aclose()
 
     async def get(self, key: str) -> Row | Unreachable | None:
-        """Return the row at ``key``, ``None`` when absent."""
+        """Return the row with ``key``, or ``None`` if it does not exist."""
         response = await self._call('GET', f'/rows/{key}', what=f'get {key}')
         if response is None or isinstance(response, Unreachable):
             return response
@@ -72,7 +72,7 @@
         return Row(key=key, version=body['version'], value=body['value'])
 
     async def scan(self, prefix: str) -> list[Row] | Unreachable:
-        """Return every row whose key starts with ``prefix``, by key."""
+        """Return the rows whose keys start with ``prefix``, in key order."""
         response = await self._call(
             'GET', '/rows', what=f'scan {prefix}', params={'prefix': prefix}
         )
@@ -86,14 +86,14 @@
         ]
 
     async def get_object(self, key: str) -> bytes | Unreachable | None:
-        """Return the object at ``key`` of the object store, if any."""
+        """Return the object with ``key``, or ``None`` if it does not exist."""
         response = await self._call('GET', f'/objects/{key}', what=f'object {key}')
         if response is None or isinstance(response, Unreachable):
             return response
         return response.content
 
     async def put_object(self, key: str, content: bytes) -> Unreachable | None:
-        """Store ``content`` as the object at ``key``."""
+        """Store ``content`` under ``key`` in the object store."""
         response = await self._call('PUT', f'/objects/{key}', what=f'object {key}', content=content)
         if response is None:
             return Unreachable(reason=f'object {key}: status {_NOT_FOUND}')
@@ -105,9 +105,9 @@
         conditions: dict[str, int],
         writes: dict[str, Any],
     ) -> TxnDone | TxnConflict | Unreachable:
-        """Write ``writes`` if every key in ``conditions`` has that version.
+        """Apply ``writes`` if every row in ``conditions`` has the given version.
 
-        Version 0 in ``conditions`` means the row must be absent.
+        Version 0 in ``conditions`` means that the row must not exist.
         """
         body = {
             'conditions': [{'key': key, 'version': version} for key, version in conditions.items()],
@@ -130,7 +130,10 @@
     async def _call(
         self, method: str, path: str, *, what: str, **extra: Any
     ) -> httpx.Response | Unreachable | None:
-        """Return a good answer, ``None`` for one that says not found."""
+        """Return the response, or ``None`` if its status is 404.
+
+        ``what`` describes the call in the reason of a failure.
+        """
         try:
             response = await self._http.request(method, path, **extra)
         except httpx.HTTPError as exc:
--- a/packages/core/src/plantainloft_core/txn_batching.py
+++ b/packages/core/src/plantainloft_core/txn_batching.py
@@ -1,11 +1,11 @@
-"""Group commit: many small transactions sent to the table as one.
+"""Group commit: many small transactions are sent to the table as one.
 
-The platform's table service takes several hundred writes a second for
+The platform's table service accepts several hundred writes per second for
 the whole deployment. Each non-idempotent request needs two conditional
-writes; sent one by one they would use the budget up at a few hundred
-requests a second. The batcher sends at most one transaction per
-``pace_s``, holding everything that waited meanwhile, so a node's write
-rate has a ceiling that does not depend on its request rate.
+writes, so sending them one by one would exhaust this at a few hundred
+requests per second. The batcher sends at most one transaction per
+``pace_s``, with everything that was queued meanwhile. This bounds a node's
+write rate independently of its request rate.
 """
 
 import collections
@@ -26,8 +26,8 @@
 TxnOutcome = TxnDone | TxnConflict | Unreachable
 
 
-class _Pending:
-    """One transaction waiting to be sent, and then its outcome."""
+class _PendingTransaction:
+    """A queued transaction and, once ``settled`` is set, its outcome."""
 
     def __init__(
         self, *, conditions: dict[str, int], writes: dict[str, Any], attempts: int = 1
@@ -47,78 +47,80 @@
 
 
 class TxnBatcher:
-    """Sends waiting transactions together, at most one per ``pace_s``.
+    """Sends queued transactions in batches, at most one batch per ``pace_s``.
 
-    The transactions of one batch touch different rows, so a failed
-    condition of one never fails another: after a conflict the others go
-    into the next batch. A lost answer is reported to every transaction
-    of its batch, since each may have taken effect.
+    The transactions of a batch touch different rows, so a conflict can be
+    attributed to the transactions that caused it; the others go into the next
+    batch. If the response to a batch is lost, this is reported to each of its
+    transactions, because all of them may have been applied.
     """
 
     def __init__(self, *, client: TableClient, pace_s: float) -> None:
         self.sent = 0
         self._client = client
         self._pace_s = pace_s
-        self._queue: collections.deque[_Pending] = collections.deque()
-        self._wake = anyio.Event()
+        self._queue: collections.deque[_PendingTransaction] = collections.deque()
+        self._has_work = anyio.Event()
         self._idle = anyio.Event()
         self._idle.set()
-        self._last_sent = 0.0
+        self._last_sent_at = 0.0
 
     async def submit(self, *, conditions: dict[str, int], writes: dict[str, Any]) -> TxnOutcome:
-        """Send a transaction with the next batch and return its outcome."""
-        pending = _Pending(conditions=conditions, writes=writes)
-        self._push(pending)
+        """Queue a transaction for the next batch and return its outcome."""
+        pending = _PendingTransaction(conditions=conditions, writes=writes)
+        self._enqueue(pending)
         await pending.settled.wait()
         return pending.outcome
 
     def post(self, *, conditions: dict[str, int], writes: dict[str, Any]) -> None:
-        """Send a transaction with the next batch; do not wait for it.
+        """Queue a transaction for the next batch without waiting for it.
 
-        Tried a few times while the table is unreachable, then dropped:
-        only for writes whose loss breaks no promise.
+        It is dropped after ``POST_ATTEMPTS`` attempts while the table is
+        unreachable, so use this only for writes whose loss violates no guarantee.
         """
-        self._push(_Pending(conditions=conditions, writes=writes, attempts=POST_ATTEMPTS))
+        self._enqueue(
+            _PendingTransaction(conditions=conditions, writes=writes, attempts=POST_ATTEMPTS)
+        )
 
     async def flush(self, *, within_s: float) -> None:
-        """Wait until nothing waits to be sent, at most ``within_s``."""
+        """Wait until the queue is empty, for at most ``within_s`` seconds."""
         with anyio.move_on_after(within_s):
             await self._idle.wait()
 
     async def run(self) -> None:
-        """Send batches forever."""
+        """Send batches until cancelled."""
         while True:
-            await self._wake.wait()
-            wait_s = self._last_sent + self._pace_s - time.monotonic()
+            await self._has_work.wait()
+            wait_s = self._last_sent_at + self._pace_s - time.monotonic()
             if wait_s > 0:
                 await anyio.sleep(wait_s)
-            await self._send(self._take())
+            await self._send_batch(self._next_batch())
             if not self._queue:
-                self._wake = anyio.Event()
+                self._has_work = anyio.Event()
                 self._idle.set()
 
-    def _push(self, pending: _Pending) -> None:
+    def _enqueue(self, pending: _PendingTransaction) -> None:
         self._queue.append(pending)
         if self._idle.is_set():
             self._idle = anyio.Event()
-        self._wake.set()
+        self._has_work.set()
 
-    def _take(self) -> list[_Pending]:
-        batch: list[_Pending] = []
+    def _next_batch(self) -> list[_PendingTransaction]:
+        batch: list[_PendingTransaction] = []
         keys: set[str] = set()
-        later: list[_Pending] = []
+        deferred: list[_PendingTransaction] = []
         while self._queue and len(keys) < MAX_ROWS:
             pending = self._queue.popleft()
             if keys.isdisjoint(pending.keys()):
                 batch.append(pending)
                 keys |= pending.keys()
             else:
-                later.append(pending)
-        self._queue.extendleft(reversed(later))
+                deferred.append(pending)
+        self._queue.extendleft(reversed(deferred))
         return batch
 
-    async def _send(self, batch: list[_Pending]) -> None:
-        self._last_sent = time.monotonic()
+    async def _send_batch(self, batch: list[_PendingTransaction]) -> None:
+        self._last_sent_at = time.monotonic()
         self.sent += 1
         outcome = await self._client.txn(
             conditions=dict(itertools.chain(*(pending.conditions.items() for pending in batch))),
@@ -127,15 +129,15 @@
         for pending in batch:
             self._settle(pending, outcome)
 
-    def _settle(self, pending: _Pending, outcome: TxnOutcome) -> None:
+    def _settle(self, pending: _PendingTransaction, outcome: TxnOutcome) -> None:
         if isinstance(outcome, TxnConflict):
             conflicts = outcome.versions_by_key.keys() & pending.conditions.keys()
             if not conflicts:
-                # Another transaction of the batch failed, not this one.
+                # The conflict was caused by another transaction of the batch.
                 self._queue.appendleft(pending)
                 return
-            found = {key: outcome.versions_by_key[key] for key in conflicts}
-            pending.settle(TxnConflict(versions_by_key=found))
+            conflict_versions = {key: outcome.versions_by_key[key] for key in conflicts}
+            pending.settle(TxnConflict(versions_by_key=conflict_versions))
             return
         pending.attempts -= 1
         if isinstance(outcome, Unreachable) and pending.attempts > 0:
