--- a/packages/core/src/plantainloft_core/model.py
+++ b/packages/core/src/plantainloft_core/model.py
@@ -1,8 +1,8 @@
-"""The typed configuration model: regions, services, endpoints, blocks, organisations.
+"""Configuration model: regions, services, endpoints, client blocks, organisations.
 
-A configuration document is plain JSON as stored in the platform's table
-service; ``parse_configuration`` checks it into typed values and reports
-every problem at once.
+A configuration document is plain JSON, stored in the platform's table
+service. ``parse_configuration`` validates it, reports all problems at once,
+and returns typed values.
 """
 
 from collections.abc import Mapping
@@ -21,7 +21,7 @@
     'Service',
     'build_configuration',
     'parse_configuration',
-    'recheck_entries',
+    'update_entries',
 ]
 
 ENDPOINT_STATES = frozenset(('active', 'draining'))
@@ -36,11 +36,11 @@
 
 
 class Region(NamedTuple):
-    """A region with the slots it can carry in all (requests in flight).
+    """A region; ``capacity`` is the most requests in flight that it can take.
 
     Nodes move traffic away from a region that is ``evacuating``, in steps
-    within each service's shift cap. ``entry_instances`` is how many are
-    planned to run there; the parts of capacity they may use depend on it.
+    within each service's shift cap. ``entry_instances`` is the number of entry
+    instances planned in the region, by which its capacity is divided.
     """
 
     name: str
@@ -51,10 +51,11 @@
 
 
 class Service(NamedTuple):
-    """A service exposed by operators.
+    """A service.
 
     ``shift_cap`` is the largest share (0..1) of its traffic that may move
-    between regions per shift interval; ``slo_ms`` the latency objective.
+    between regions within ``SHIFT_WINDOW_S``. ``slo_ms`` is its latency
+    objective.
     """
 
     name: str
@@ -63,7 +64,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One endpoint of a service: where it runs and how much it takes."""
+    """An endpoint of a service; ``slots`` is its limit of requests in flight."""
 
     name: str
     service: str
@@ -75,7 +76,7 @@
 
 
 class ClientBlock(NamedTuple):
-    """A block of callers and the availability zone it sits nearest."""
+    """A block of callers and their nearest availability zone."""
 
     name: str
     zone: str
@@ -84,9 +85,9 @@
 class Configuration(NamedTuple):
     """One numbered version of the whole configuration.
 
-    Build it with ``build_configuration``, which fills the two indexes
-    (``endpoints_by_service``, ``region_by_zone``) that keep a steering
-    choice from scanning every endpoint and region.
+    Create it with ``build_configuration``, which builds the indexes
+    ``endpoints_by_service`` and ``region_by_zone``. With them, choosing an
+    endpoint does not scan all endpoints and regions.
     """
 
     version: int
@@ -99,7 +100,7 @@
     organisations: OrganisationBook = NO_ORGANISATIONS
 
     def region_of_zone(self, zone: str) -> str | None:
-        """Return the region holding availability zone ``zone``, if any."""
+        """Return the region of availability zone ``zone``, if there is one."""
         return self.region_by_zone.get(zone)
 
 
@@ -112,7 +113,7 @@
     blocks_by_name: Mapping[str, ClientBlock],
     organisations: OrganisationBook = NO_ORGANISATIONS,
 ) -> Configuration:
-    """Return a ``Configuration`` with its indexes filled."""
+    """Return a ``Configuration`` with its indexes."""
     by_service: dict[str, list[Endpoint]] = {}
     for endpoint in sorted(endpoints_by_name.values()):
         by_service.setdefault(endpoint.service, []).append(endpoint)
@@ -139,7 +140,7 @@
 )
 
 
-def _regions(doc: Mapping[str, Any], problems: SchemaProblems) -> dict[str, Region]:
+def _parse_regions(doc: Mapping[str, Any], problems: SchemaProblems) -> dict[str, Region]:
     by_name = {}
     for name, raw in section_of(doc, 'regions', problems).items():
         path = f'regions.{name}'
@@ -169,7 +170,7 @@
     return by_name
 
 
-def _services(doc: Mapping[str, Any], problems: SchemaProblems) -> dict[str, Service]:
+def _parse_services(doc: Mapping[str, Any], problems: SchemaProblems) -> dict[str, Service]:
     by_name = {}
     for name, raw in section_of(doc, 'services', problems).items():
         path = f'services.{name}'
@@ -189,29 +190,29 @@
     return by_name
 
 
-def _endpoint(
+def _parse_endpoint(
     name: str,
     raw: Mapping[str, Any],
     problems: SchemaProblems,
     *,
-    zone_regions: Mapping[str, str],
+    region_by_zone: Mapping[str, str],
     services: Mapping[str, Service],
 ) -> Endpoint:
     path = f'endpoints.{name}'
     service = problems.text(f'{path}.service', raw.get('service'))
     if service and service not in services:
-        problems.add(f'{path}.service', f'names no service {service!r}')
+        problems.add(f'{path}.service', f'unknown service {service!r}')
     zone = problems.text(f'{path}.zone', raw.get('zone'))
-    if zone and zone not in zone_regions:
-        problems.add(f'{path}.zone', f'is in no region: {zone!r}')
+    if zone and zone not in region_by_zone:
+        problems.add(f'{path}.zone', f'zone {zone!r} belongs to no region')
     state = raw.get('state', 'active')
     if state not in ENDPOINT_STATES:
-        problems.add(f'{path}.state', 'must be active or draining')
+        problems.add(f'{path}.state', "must be 'active' or 'draining'")
     slots = problems.number(f'{path}.slots', raw.get('slots'), low=1, high=MAX_SLOTS)
     return Endpoint(
         name=name,
         service=service,
-        region=zone_regions.get(zone, ''),
+        region=region_by_zone.get(zone, ''),
         zone=zone,
         address=problems.text(f'{path}.address', raw.get('address')),
         slots=int(slots),
@@ -219,39 +220,39 @@
     )
 
 
-def _block(
+def _parse_block(
     name: str,
     raw: Mapping[str, Any],
     problems: SchemaProblems,
     *,
-    zone_regions: Mapping[str, str],
+    region_by_zone: Mapping[str, str],
 ) -> ClientBlock:
     zone = problems.text(f'client_blocks.{name}.zone', raw.get('zone'))
-    if zone and zone not in zone_regions:
-        problems.add(f'client_blocks.{name}.zone', f'is in no region: {zone!r}')
+    if zone and zone not in region_by_zone:
+        problems.add(f'client_blocks.{name}.zone', f'zone {zone!r} belongs to no region')
     return ClientBlock(name=name, zone=zone)
 
 
-def recheck_entries(
+def update_entries(
     config: Configuration,
     document: Mapping[str, Any],
     *,
-    touched: frozenset[tuple[str, str]],
+    changed: frozenset[tuple[str, str]],
     version: int,
 ) -> Configuration | Invalid:
-    """Return ``config`` with the ``touched`` entries as in ``document``.
+    """Return ``config`` with the ``changed`` entries taken from ``document``.
 
-    ``touched`` are (section, name) pairs of ``endpoints`` and
-    ``client_blocks`` only; the rest of ``document`` must be what
-    ``config`` was made from. Only the touched entries are checked.
+    ``changed`` are (section, name) pairs of the sections ``endpoints`` and
+    ``client_blocks`` only, and only these entries are validated. The rest of
+    ``document`` must be what ``config`` was parsed from.
     """
     problems = SchemaProblems()
     endpoints = dict(config.endpoints_by_name)
     blocks = config.blocks_by_name
-    if any(section == 'client_blocks' for section, _ in touched):
+    if any(section == 'client_blocks' for section, _ in changed):
         blocks = dict(blocks)
     by_section: dict[str, Any] = {'endpoints': endpoints, 'client_blocks': blocks}
-    for section, name in touched:
+    for section, name in changed:
         raw = document[section].get(name)
         if raw is None:
             by_section[section].pop(name, None)
@@ -260,16 +261,16 @@
             problems.add(f'{section}.{name}', 'must be an object')
             continue
         if section == 'endpoints':
-            endpoints[name] = _endpoint(
+            endpoints[name] = _parse_endpoint(
                 name,
                 raw,
                 problems,
-                zone_regions=config.region_by_zone,
+                region_by_zone=config.region_by_zone,
                 services=config.services_by_name,
             )
         else:
-            by_section[section][name] = _block(
-                name, raw, problems, zone_regions=config.region_by_zone
+            by_section[section][name] = _parse_block(
+                name, raw, problems, region_by_zone=config.region_by_zone
             )
     if problems.found:
         return Invalid(problems=tuple(problems.found))
@@ -288,20 +289,21 @@
     *,
     version: int,
 ) -> Configuration | Invalid:
-    """Check a JSON document into a ``Configuration`` numbered ``version``.
+    """Parse a JSON document into the ``Configuration`` of version ``version``.
 
-    Returns ``Invalid`` listing every problem by its dotted path.
+    Returns ``Invalid`` with all problems, each by its dotted path, if there
+    are any.
     """
     problems = SchemaProblems()
-    regions = _regions(doc, problems)
-    zone_regions = {zone: region.name for region in regions.values() for zone in region.zones}
-    services = _services(doc, problems)
+    regions = _parse_regions(doc, problems)
+    region_by_zone = {zone: region.name for region in regions.values() for zone in region.zones}
+    services = _parse_services(doc, problems)
     endpoints = {
-        name: _endpoint(name, raw, problems, zone_regions=zone_regions, services=services)
+        name: _parse_endpoint(name, raw, problems, region_by_zone=region_by_zone, services=services)
         for name, raw in section_of(doc, 'endpoints', problems).items()
     }
     blocks = {
-        name: _block(name, raw, problems, zone_regions=zone_regions)
+        name: _parse_block(name, raw, problems, region_by_zone=region_by_zone)
         for name, raw in section_of(doc, 'client_blocks', problems).items()
     }
     organisations = parse_organisations(doc, problems, regions=frozenset(regions))
--- a/packages/core/src/plantainloft_core/patching.py
+++ b/packages/core/src/plantainloft_core/patching.py
@@ -1,8 +1,7 @@
-"""Apply an operator's patch (RFC 6902 JSON Patch) to a configuration.
+"""Apply JSON Patch documents (RFC 6902) to a configuration.
 
-Source of the format: RFC 6902; the ``jsonpatch`` library applies it.
-A patch usually touches one endpoint or client block out of many
-thousands, so only what its paths name is copied and checked again.
+A patch usually changes one endpoint or client block out of many thousands,
+so only the entries that its paths refer to are copied and validated again.
 """
 
 import copy
@@ -10,7 +9,7 @@
 
 import jsonpatch
 
-from plantainloft_core.model import Configuration, parse_configuration, recheck_entries
+from plantainloft_core.model import Configuration, parse_configuration, update_entries
 from plantainloft_core.outcomes import Invalid
 
 __all__ = ['apply_change', 'apply_patch', 'replay']
@@ -18,13 +17,13 @@
 Document = dict[str, Any]
 Patch = list[dict[str, Any]]
 
-_ENTRY_DEPTH = 2
+_ENTRY_POINTER_LENGTH = 2
 _POINTER_FIELDS = frozenset(('path', 'from'))
-_LEAF_SECTIONS = frozenset(('endpoints', 'client_blocks'))
+_INDEPENDENT_SECTIONS = frozenset(('endpoints', 'client_blocks'))
 
 
 def replay(document: Document, patches: list[Patch]) -> Document | Invalid:
-    """Apply stored patches in order, in place; check nothing."""
+    """Apply stored patches in order and in place, without validation."""
     for patch in patches:
         patched = _apply(document, patch)
         if isinstance(patched, Invalid):
@@ -36,71 +35,72 @@
 def apply_patch(
     document: Document, patch: Patch, *, version: int
 ) -> tuple[Document, Configuration] | Invalid:
-    """Apply ``patch`` to ``document`` and check the whole result.
+    """Apply ``patch`` to a copy of ``document`` and validate the whole result.
 
-    Returns the new document with its typed form, or ``Invalid`` when the
-    patch does not apply or the result breaks the schema. ``document`` is
-    not changed.
+    Returns the new document and its parsed form, or ``Invalid`` if the patch
+    cannot be applied or the result violates the schema.
     """
     patched = _apply(copy.deepcopy(document), patch)
     if isinstance(patched, Invalid):
         return patched
-    checked = parse_configuration(patched, version=version)
-    if isinstance(checked, Invalid):
-        return checked
-    return patched, checked
+    new_config = parse_configuration(patched, version=version)
+    if isinstance(new_config, Invalid):
+        return new_config
+    return patched, new_config
 
 
 def apply_change(
     document: Document, config: Configuration, patch: Patch
 ) -> tuple[Document, Configuration] | Invalid:
-    """Apply a committed patch to make the version after ``config``.
+    """Apply a committed patch to get the version that follows ``config``.
 
-    As ``apply_patch``, but costs by the size of the patch, not of the
-    configuration, where the patch touches only endpoints and blocks.
+    Like ``apply_patch``, but if the patch changes only endpoints and client
+    blocks, only these entries are copied and validated, so that the cost
+    depends on the size of the patch and not on that of the configuration.
     """
     version = config.version + 1
-    touched = _touched_entries(patch)
-    if touched is None:
+    changed = _changed_entries(patch)
+    if changed is None:
         return apply_patch(document, patch, version=version)
-    copied = dict(document)
-    for section, name in touched:
-        if copied.get(section) is document.get(section):
-            copied[section] = dict(document.get(section, {}))
-        entry = copied[section].get(name)
+    new_document = dict(document)
+    for section, name in changed:
+        if new_document.get(section) is document.get(section):
+            new_document[section] = dict(document.get(section, {}))
+        entry = new_document[section].get(name)
         if entry is not None:
-            copied[section][name] = copy.deepcopy(entry)
-    patched = _apply(copied, patch)
+            new_document[section][name] = copy.deepcopy(entry)
+    patched = _apply(new_document, patch)
     if isinstance(patched, Invalid):
         return patched
-    checked = recheck_entries(config, patched, touched=touched, version=version)
-    if isinstance(checked, Invalid):
-        return checked
-    return patched, checked
+    new_config = update_entries(config, patched, changed=changed, version=version)
+    if isinstance(new_config, Invalid):
+        return new_config
+    return patched, new_config
 
 
 def _apply(document: Document, patch: Patch) -> Document | Invalid:
     try:
         patched: Document = jsonpatch.apply_patch(document, patch, in_place=True)
     except (jsonpatch.JsonPatchException, jsonpatch.JsonPointerException) as exc:
-        return Invalid(problems=(f'patch: {exc}',))
+        return Invalid(problems=(f'patch: cannot be applied: {exc}',))
     except (TypeError, KeyError, IndexError) as exc:
         return Invalid(problems=(f'patch: malformed operation: {exc}',))
     return patched
 
 
-def _touched_entries(patch: Patch) -> frozenset[tuple[str, str]] | None:
-    """Return the (section, entry) pairs a patch touches, if only those.
+def _changed_entries(patch: Patch) -> frozenset[tuple[str, str]] | None:
+    """Return the (section, entry) pairs that a patch changes.
 
-    ``None`` where it reaches a whole section, or regions and services,
-    which other entries refer to: then everything is checked again.
+    Returns ``None`` if the patch changes a whole section or one that other
+    entries depend on, such as regions and services. In that case the whole
+    document must be validated again.
     """
-    touched = set()
+    changed = set()
     for operation in patch:
         pointers = [path for field, path in operation.items() if field in _POINTER_FIELDS]
         for pointer in pointers:
             parts = jsonpatch.JsonPointer(pointer).parts
-            if len(parts) < _ENTRY_DEPTH or parts[0] not in _LEAF_SECTIONS:
+            if len(parts) < _ENTRY_POINTER_LENGTH or parts[0] not in _INDEPENDENT_SECTIONS:
                 return None
-            touched.add((parts[0], parts[1]))
-    return frozenset(touched)
+            changed.add((parts[0], parts[1]))
+    return frozenset(changed)
