--- a/packages/core/src/plantainloft_core/organisation_schema.py
+++ b/packages/core/src/plantainloft_core/organisation_schema.py
@@ -1,9 +1,12 @@
-"""Check the organisations of a configuration document.
+"""Parse and validate the organisations of a configuration document.
 
-Each entry of the section ``organisations`` has ``keys``, an object whose names
-are the SHA-256 digests of the keys and whose values say what each is for, so
-that a patch adds or removes one key; ``rate`` (requests a second, 0 for no
-limit) and ``burst``; ``priority``; and ``regions``, its homes.
+Each entry of the section ``organisations`` has these fields:
+
+- ``keys``: an object that maps the SHA-256 digest of each key to a
+  description. As it is an object, a patch can add or remove a single key.
+- ``rate`` (requests per second, 0 for no limit) and ``burst``.
+- ``priority``.
+- ``regions``: the only regions in which the organisation's requests may run.
 """
 
 import re
@@ -24,15 +27,15 @@
 SECTION = 'organisations'
 MAX_RATE = 1_000_000
 MAX_PRIORITY = 100
-DIGEST = re.compile('[0-9a-f]{64}')
+SHA256_HEX = re.compile('[0-9a-f]{64}')
 
 
 def parse_organisations(
     doc: Mapping[str, Any], problems: SchemaProblems, *, regions: frozenset[str]
 ) -> OrganisationBook:
-    """Return the organisations of ``doc``; what is wrong goes to ``problems``."""
+    """Return the organisations of ``doc`` and add its errors to ``problems``."""
     found = [
-        _organisation(name, raw, problems, known_regions=regions)
+        _parse_organisation(name, raw, problems, known_regions=regions)
         for name, raw in section_of(doc, SECTION, problems).items()
     ]
     holder_by_digest: dict[str, str] = {}
@@ -41,11 +44,11 @@
             holder = holder_by_digest.setdefault(digest, organisation.name)
             if holder != organisation.name:
                 path = f'{SECTION}.{organisation.name}.keys.{digest[:SHOWN_DIGITS]}'
-                problems.add(path, f'is a key of {holder!r} as well')
+                problems.add(path, f'already belongs to organisation {holder!r}')
     return build_organisations(found)
 
 
-def _organisation(
+def _parse_organisation(
     name: str,
     raw: Mapping[str, Any],
     problems: SchemaProblems,
@@ -60,31 +63,31 @@
         priority = int(problems.number(f'{path}.priority', priority, low=0, high=MAX_PRIORITY))
     return Organisation(
         name=name,
-        key_digests=_digests(f'{path}.keys', raw.get('keys', {}), problems),
+        key_digests=_parse_key_digests(f'{path}.keys', raw.get('keys', {}), problems),
         limit=RequestLimit(rate, burst) if rate else None,
         priority=priority,
-        regions=_regions(f'{path}.regions', raw.get('regions', []), problems, known_regions),
+        regions=_parse_regions(f'{path}.regions', raw.get('regions', []), problems, known_regions),
     )
 
 
-def _digests(path: str, raw: Any, problems: SchemaProblems) -> frozenset[str]:
+def _parse_key_digests(path: str, raw: Any, problems: SchemaProblems) -> frozenset[str]:
     if not isinstance(raw, dict):
         problems.add(path, 'must be an object')
         return frozenset()
     for digest in raw:
-        if not DIGEST.fullmatch(digest):
-            # Not named: by mistake it may be a key itself.
-            problems.add(path, 'must be named by SHA-256 digests, 64 hexadecimal digits')
+        if not SHA256_HEX.fullmatch(digest):
+            # The message leaves the value out: it may be a key given by mistake.
+            problems.add(path, 'names must be SHA-256 digests of 64 hexadecimal digits')
     return frozenset(raw)
 
 
-def _regions(
-    path: str, raw: Any, problems: SchemaProblems, known: frozenset[str]
+def _parse_regions(
+    path: str, raw: Any, problems: SchemaProblems, known_regions: frozenset[str]
 ) -> frozenset[str]:
     if not isinstance(raw, list):
         problems.add(path, 'must be a list')
         return frozenset()
     for region in raw:
-        if region not in known:
-            problems.add(path, f'names no region {region!r}')
+        if region not in known_regions:
+            problems.add(path, f'unknown region {region!r}')
     return frozenset(str(region) for region in raw)
--- a/packages/core/src/plantainloft_core/organisations.py
+++ b/packages/core/src/plantainloft_core/organisations.py
@@ -1,7 +1,7 @@
-"""Organisations: whose keys open the routes, and on what terms.
+"""Organisations, their API keys and the limits of their requests.
 
-Keys are held as digests, never as text, so that neither a copy of the
-configuration in memory nor one passed on between instances opens a route.
+Keys are stored as digests, never as plain text. A configuration that is read
+from memory, or in transit between instances, therefore reveals no usable key.
 """
 
 from collections import Counter
@@ -20,32 +20,32 @@
     'doubly_held_keys',
 ]
 
-# Hexadecimal digits of a digest by which people name a key.
+# Number of leading hexadecimal digits of a digest that identify a key in messages.
 SHOWN_DIGITS = 12
 
 
 class RequestLimit(NamedTuple):
-    """Requests that an organisation may have run, over all instances.
+    """The rate limit of an organisation, across all instances.
 
-    In any window: ``rate`` (requests a second) times its length, and
-    ``burst`` more.
+    In any time window, ``rate`` (requests per second) times the length of the
+    window plus ``burst`` requests may run.
     """
 
     rate: float
     burst: float
 
     def in_window(self, window_s: float) -> float:
-        """Return the requests that may run in ``window_s`` seconds."""
+        """Return how many requests may run in ``window_s`` seconds."""
         return self.rate * window_s + self.burst
 
 
 class Organisation(NamedTuple):
-    """An organisation and the terms of its requests.
+    """An organisation and the settings of its requests.
 
-    ``key_digests`` are hexadecimal, from ``digest_key``. ``limit`` is
-    ``None`` for no limit. ``priority`` goes before the route's; ``None``
-    leaves the route's. ``regions`` are the only ones in which its requests
-    may run; empty means all.
+    ``key_digests`` are hexadecimal, as returned by ``digest_key``. A ``limit``
+    of ``None`` means no limit. ``priority`` overrides that of the route unless
+    it is ``None``. ``regions`` are the only regions in which its requests may
+    run; an empty set means all.
     """
 
     name: str
@@ -56,13 +56,13 @@
 
 
 class OrganisationBook(NamedTuple):
-    """All organisations of one version of the configuration."""
+    """The organisations of one configuration version, indexed by name and key."""
 
     by_name: Mapping[str, Organisation]
     by_key_digest: Mapping[str, Organisation]
 
     def holder_of(self, key: bytes) -> Organisation | None:
-        """Return the organisation that holds ``key``, if one does."""
+        """Return the organisation that ``key`` belongs to, if there is one."""
         return self.by_key_digest.get(digest_key(key))
 
 
@@ -72,7 +72,7 @@
 
 
 def build_organisations(organisations: Iterable[Organisation]) -> OrganisationBook:
-    """Index ``organisations`` by name and by the digests of their keys."""
+    """Index ``organisations`` by name and by key digest."""
     by_name = {organisation.name: organisation for organisation in organisations}
     return OrganisationBook(
         by_name=by_name,
@@ -85,9 +85,11 @@
 
 
 def doubly_held_keys(organisations: Iterable[Organisation]) -> list[str]:
-    """Return the digests of keys that more than one organisation holds."""
-    held = Counter(digest for one in organisations for digest in one.key_digests)
-    return sorted(digest for digest, holders in held.items() if holders > 1)
+    """Return the digests of the keys that belong to several organisations."""
+    holders_by_digest = Counter(
+        digest for organisation in organisations for digest in organisation.key_digests
+    )
+    return sorted(digest for digest, holders in holders_by_digest.items() if holders > 1)
 
 
 NO_ORGANISATIONS = build_organisations(())
--- a/packages/core/src/plantainloft_core/schema_problems.py
+++ b/packages/core/src/plantainloft_core/schema_problems.py
@@ -1,4 +1,4 @@
-"""Checks of a configuration document that report every problem together."""
+"""Validation of a configuration document that reports all problems together."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -7,17 +7,20 @@
 
 
 class SchemaProblems:
-    """Collects schema problems under the option path that has them."""
+    """Collects schema violations with the path of the field concerned."""
 
     def __init__(self) -> None:
         self.found: list[str] = []
 
     def add(self, path: str, message: str) -> None:
-        """Add a problem of the entry at ``path``."""
+        """Add a problem with the field at ``path``."""
         self.found.append(f'{path}: {message}')
 
     def number(self, path: str, raw: Any, *, low: float, high: float) -> float:
-        """Return ``raw`` if it is a number from ``low`` to ``high``."""
+        """Return ``raw`` as a number and check that it is in ``low`` to ``high``.
+
+        A value that is not a number is reported, and ``low`` is returned.
+        """
         if isinstance(raw, bool) or not isinstance(raw, int | float):
             self.add(path, 'must be a number')
             return low
@@ -26,13 +29,13 @@
         return float(raw)
 
     def flag(self, path: str, raw: Any) -> bool:
-        """Return ``raw`` if it is true or false."""
+        """Return ``raw`` and check that it is a boolean."""
         if not isinstance(raw, bool):
             self.add(path, 'must be true or false')
         return raw is True
 
     def text(self, path: str, raw: Any) -> str:
-        """Return ``raw`` if it is text and not empty."""
+        """Return ``raw`` if it is a non-empty string, or else an empty one."""
         if not isinstance(raw, str) or not raw:
             self.add(path, 'must be a non-empty string')
             return ''
@@ -40,7 +43,7 @@
 
 
 def section_of(doc: Mapping[str, Any], name: str, problems: SchemaProblems) -> dict[str, Any]:
-    """Return the entries of a section of a document, by name."""
+    """Return the entries of section ``name`` that are objects, by their names."""
     raw = doc.get(name, {})
     if not isinstance(raw, dict):
         problems.add(name, 'must be an object')
--- a/tests/test_own_organisations.py
+++ b/tests/test_own_organisations.py
@@ -1,4 +1,4 @@
-"""Organisations at the product's own interface, with real processes."""
+"""Organisations in the configuration document, partly tested with real processes."""
 
 import itertools
 import time
@@ -29,7 +29,7 @@
 
 REGIONS = {'ankara': {'capacity': 80, 'zones': ['a']}, 'izmir': {'capacity': 80, 'zones': ['b']}}
 DIGEST = digest_key(b'k-bar')
-# Twelve instances, as each of the users has.
+# Twelve entry instances, the size of each user's deployment.
 TWELVE = Deployment(
     name='twelve',
     regions=('ankara', 'izmir', 'istanbul'),
@@ -39,16 +39,16 @@
 LIMIT_PER_S = 3.0
 BURST = 3.0
 WINDOW_S = 5.0
-OVER = 0.1
-SLACK = 20.0
+LIMIT_TOLERANCE = 0.1
+LIMIT_TOLERANCE_REQUESTS = 20.0
 
 
-def checked(organisations: Any) -> Configuration | Invalid:
+def parse_organisations(organisations: Any) -> Configuration | Invalid:
     return parse_configuration({'regions': REGIONS, 'organisations': organisations}, version=1)
 
 
-def test_organisations_are_read_with_their_terms() -> None:
-    config = checked(
+def test_organisations_are_parsed_with_their_settings() -> None:
+    config = parse_organisations(
         {'bar': {'keys': {DIGEST: 'front desk'}, 'rate': 5, 'burst': 2, 'regions': ['izmir']}}
     )
     assert isinstance(config, Configuration)
@@ -62,23 +62,28 @@
     [
         ({'bar': {'rate': -1}}, 'organisations.bar.rate: must be between'),
         ({'bar': {'burst': 'x'}}, 'organisations.bar.burst: must be a number'),
-        ({'bar': {'regions': ['nowhere']}}, "organisations.bar.regions: names no region 'nowhere'"),
-        ({'bar': {'keys': {'k-secret': ''}}}, 'organisations.bar.keys: must be named by SHA-256'),
+        ({'bar': {'regions': ['nowhere']}}, "organisations.bar.regions: unknown region 'nowhere'"),
+        (
+            {'bar': {'keys': {'k-secret': ''}}},
+            'organisations.bar.keys: names must be SHA-256 digests',
+        ),
         (
             {'bar': {'keys': {DIGEST: ''}}, 'foo': {'keys': {DIGEST: ''}}},
-            f"organisations.foo.keys.{DIGEST[:12]}: is a key of 'bar' as well",
+            f"organisations.foo.keys.{DIGEST[:12]}: already belongs to organisation 'bar'",
         ),
     ],
     ids=['rate', 'burst', 'regions', 'key', 'held twice'],
 )
-def test_what_is_wrong_is_named_and_nothing_is_taken(organisations: Any, problem: str) -> None:
-    outcome = checked(organisations)
+def test_invalid_organisations_are_rejected_with_the_problem(
+    organisations: Any, problem: str
+) -> None:
+    outcome = parse_organisations(organisations)
     assert isinstance(outcome, Invalid)
     assert outcome.problems[0].startswith(problem)
     assert 'k-secret' not in outcome.problems[0]
 
 
-def test_a_patch_removes_one_key_and_leaves_the_others() -> None:
+def test_patch_removes_a_single_key() -> None:
     other = digest_key(b'k-other')
     document = {
         'regions': REGIONS,
@@ -92,8 +97,8 @@
     assert organisations.holder_of(b'k-other') is not None
 
 
-def homes_document() -> dict[str, Any]:
-    """A service with an endpoint in each of two regions."""
+def two_region_document() -> dict[str, Any]:
+    """Return a document with one service and an endpoint in each of two regions."""
     endpoints = {
         f'e-{zone}': {'service': 'desk', 'zone': zone, 'address': 'http://x', 'slots': 4}
         for zone in ('a', 'b')
@@ -103,8 +108,8 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize('kind', ['split', 'nearest'])
-async def test_a_request_with_homes_runs_in_no_other_region(kind: str) -> None:
-    config = parse_configuration(homes_document(), version=1)
+async def test_request_limited_to_a_region_runs_in_no_other(kind: str) -> None:
+    config = parse_configuration(two_region_document(), version=1)
     assert isinstance(config, Configuration)
     async with httpx.AsyncClient() as http:
         loads = LoadBook(http=http, poll_s=1.0)
@@ -121,7 +126,7 @@
         assert isinstance(again, Refused)
 
 
-def test_the_plot_of_uses_is_a_png(tmp_path: Path) -> None:
+def test_usage_plot_is_a_png(tmp_path: Path) -> None:
     entry = {
         'name': 'bar',
         'key_digests': [DIGEST],
@@ -139,7 +144,7 @@
 
 
 @pytest.fixture
-def twelve(tmp_path: Path) -> Iterator[Cluster]:
+def cluster_of_twelve(tmp_path: Path) -> Iterator[Cluster]:
     cluster = bring_up(TWELVE, work_dir=tmp_path, entries_per_zone=2)
     yield cluster
     cluster.processes.stop_all()
@@ -162,14 +167,14 @@
     anyio.run(run)
 
 
-def declare(cluster: Cluster) -> None:
+def declare_organisation(cluster: Cluster) -> None:
     bar = {'keys': {DIGEST: 'desk'}, 'rate': LIMIT_PER_S, 'burst': BURST}
     commit(cluster, [{'op': 'add', 'path': '/organisations', 'value': {'bar': bar}}])
-    until_status(cluster, {}, 401)
+    wait_for_status(cluster, {}, 401)
 
 
-def until_status(cluster: Cluster, headers: dict[str, str], status: int) -> None:
-    """Wait until every instance answers with ``status``."""
+def wait_for_status(cluster: Cluster, headers: dict[str, str], status: int) -> None:
+    """Wait until every instance responds with ``status``."""
     deadline = time.monotonic() + 10
     for url in cluster.entries_by_name.values():
         while ask(url, headers) != status:
@@ -185,44 +190,46 @@
     return answer.status_code
 
 
-def test_keys_limits_and_kills_at_twelve_instances(
-    twelve: Cluster, capsys: pytest.CaptureFixture[str]
+def test_rate_limit_holds_while_instances_are_killed(
+    cluster_of_twelve: Cluster, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    declare(twelve)
-    with_key = {'api-key': 'k-bar'}
+    declare_organisation(cluster_of_twelve)
+    key_header = {'api-key': 'k-bar'}
     time.sleep(WINDOW_S)
     served_at: list[float] = []
     statuses: Counter[int] = Counter()
-    names = list(twelve.entries_by_name)
-    began = time.monotonic()
-    for turn, name in enumerate(itertools.cycle(names)):
-        if time.monotonic() - began > 3 * WINDOW_S:
+    names = list(cluster_of_twelve.entries_by_name)
+    started_at = time.monotonic()
+    for index, name in enumerate(itertools.cycle(names)):
+        if time.monotonic() - started_at > 3 * WINDOW_S:
             break
-        if turn and turn % 150 == 0:
-            twelve.processes.by_name[name].kill()
-            twelve.processes.by_name[name].wait()
-            twelve.processes.spawn_again(name)
+        if index and index % 150 == 0:
+            cluster_of_twelve.processes.by_name[name].kill()
+            cluster_of_twelve.processes.by_name[name].wait()
+            cluster_of_twelve.processes.spawn_again(name)
             continue
-        status = ask(twelve.entries_by_name[name], with_key)
+        status = ask(cluster_of_twelve.entries_by_name[name], key_header)
         statuses[status] += 1
         if status == 200:
             served_at.append(time.monotonic())
-    bound = (LIMIT_PER_S * WINDOW_S + BURST) * (1 + OVER) + SLACK
-    most = max(
+    allowed_requests = (LIMIT_PER_S * WINDOW_S + BURST) * (
+        1 + LIMIT_TOLERANCE
+    ) + LIMIT_TOLERANCE_REQUESTS
+    largest_window = max(
         sum(first <= at < first + WINDOW_S for at in served_at[number:])
         for number, first in enumerate(served_at)
     )
-    assert most <= bound
+    assert largest_window <= allowed_requests
     assert statuses[429] > 0
     assert set(statuses) <= {0, 200, 429, 503}
-    Organisations(nodes=[f'{url}/v1' for url in twelve.entries_by_name.values()])()
+    Organisations(nodes=[f'{url}/v1' for url in cluster_of_twelve.entries_by_name.values()])()
     printed = capsys.readouterr().out
     assert 'bar' in printed
     assert '3/s' in printed
 
 
-def test_a_removed_key_stops_at_every_instance(twelve: Cluster) -> None:
-    declare(twelve)
-    assert ask(next(iter(twelve.entries_by_name.values())), {'api-key': 'k-bar'}) == 200
-    commit(twelve, [{'op': 'remove', 'path': f'/organisations/bar/keys/{DIGEST}'}])
-    until_status(twelve, {'api-key': 'k-bar'}, 401)
+def test_removed_key_is_rejected_by_every_instance(cluster_of_twelve: Cluster) -> None:
+    declare_organisation(cluster_of_twelve)
+    assert ask(next(iter(cluster_of_twelve.entries_by_name.values())), {'api-key': 'k-bar'}) == 200
+    commit(cluster_of_twelve, [{'op': 'remove', 'path': f'/organisations/bar/keys/{DIGEST}'}])
+    wait_for_status(cluster_of_twelve, {'api-key': 'k-bar'}, 401)
