--- a/packages/core/src/plantainloft_core/lookup.py
+++ b/packages/core/src/plantainloft_core/lookup.py
@@ -1,9 +1,9 @@
 """The look-up: which entry instances a caller should use.
 
-Callers cache the answer for the time they are told. The answer names only
-live members, nearest availability zone first, each tier's members in a
-per-block rendezvous order so a block's callers spread evenly and move
-little when one member leaves.
+Callers cache the result for the time given in it. The result lists only live
+members, those of the nearest availability zone first. Within a tier (zone,
+region, rest), members are ordered by rendezvous hashing of the client block.
+This spreads the blocks evenly and moves few of them when a member leaves.
 """
 
 import functools
@@ -15,16 +15,16 @@
 
 __all__ = ['LookupIndex', 'Member']
 
-ANSWER_SIZE = 3
-MAX_CACHED_ANSWERS = 200_000
+MAX_ADDRESSES = 3
+MAX_CACHED_BLOCKS = 200_000
 
 
 class Member(NamedTuple):
-    """An entry instance as membership knows it.
+    """An entry instance in the membership list.
 
-    ``address`` is the URL callers use, ``peer_address`` the ``host:port``
-    other entry instances use. ``incarnation`` grows with every restart
-    and every answer to a false suspicion.
+    ``address`` is its URL for callers, and ``peer_address`` its ``host:port``
+    for other entry instances. ``incarnation`` increases with every restart and
+    every refutation of a false suspicion.
     """
 
     name: str
@@ -35,60 +35,60 @@
     incarnation: int = 0
 
 
-def _weight(client_block: str, member: Member) -> bytes:
+def _rendezvous_weight(client_block: str, member: Member) -> bytes:
     key = f'{client_block}/{member.name}'.encode()
     return hashlib.blake2b(key, digest_size=8).digest()
 
 
 class LookupIndex:
-    """Staying members grouped by zone and region, answers cached by block.
+    """Members by zone and region, with cached results by client block.
 
-    Built once per change of configuration or membership; a look-up then
-    ranks only the members of the tiers it needs (the block's zone, then
-    its region, then the rest) instead of every member, and a repeated
-    block is a dictionary read.
+    Members that are leaving are left out. The index is rebuilt after each
+    change of the configuration or membership. A look-up then ranks only the
+    members of the tiers that it needs (the block's zone, its region, the rest),
+    and a repeated look-up of a block is a dictionary access.
     """
 
     def __init__(self, *, config: Configuration, members: Iterable[Member]) -> None:
         self.config = config
-        self._by_zone: dict[str, list[Member]] = {}
-        self._by_region: dict[str, list[Member]] = {}
-        self._all: list[Member] = []
+        self._members_by_zone: dict[str, list[Member]] = {}
+        self._members_by_region: dict[str, list[Member]] = {}
+        self._all_members: list[Member] = []
         for member in members:
             if member.leaving:
                 continue
-            self._all.append(member)
-            self._by_zone.setdefault(member.zone, []).append(member)
+            self._all_members.append(member)
+            self._members_by_zone.setdefault(member.zone, []).append(member)
             region = config.region_of_zone(member.zone) or ''
-            self._by_region.setdefault(region, []).append(member)
-        self._cache_by_block: dict[str, tuple[str, ...]] = {}
+            self._members_by_region.setdefault(region, []).append(member)
+        self._addresses_by_block: dict[str, tuple[str, ...]] = {}
 
     def addresses(self, client_block: str) -> tuple[str, ...]:
-        """Return the addresses a caller in ``client_block`` should try."""
-        cached = self._cache_by_block.get(client_block)
+        """Return the addresses that a caller in ``client_block`` should use."""
+        cached = self._addresses_by_block.get(client_block)
         if cached is not None:
             return cached
-        chosen = self._rank(client_block)
-        if len(self._cache_by_block) >= MAX_CACHED_ANSWERS:
-            self._cache_by_block.clear()
-        self._cache_by_block[client_block] = chosen
-        return chosen
+        selected = self._ranked_addresses(client_block)
+        if len(self._addresses_by_block) >= MAX_CACHED_BLOCKS:
+            self._addresses_by_block.clear()
+        self._addresses_by_block[client_block] = selected
+        return selected
 
-    def _rank(self, client_block: str) -> tuple[str, ...]:
+    def _ranked_addresses(self, client_block: str) -> tuple[str, ...]:
         block = self.config.blocks_by_name.get(client_block)
         zone = block.zone if block else ''
         region = self.config.region_of_zone(zone) or ''
         tiers = (
-            self._by_zone.get(zone, []),
-            self._by_region.get(region, []) if region else [],
-            self._all,
+            self._members_by_zone.get(zone, []),
+            self._members_by_region.get(region, []) if region else [],
+            self._all_members,
         )
-        chosen: list[Member] = []
-        weight = functools.partial(_weight, client_block)
+        selected: list[Member] = []
+        weight = functools.partial(_rendezvous_weight, client_block)
         for tier in tiers:
-            fresh = [member for member in tier if member not in chosen]
-            fresh.sort(key=weight, reverse=True)
-            chosen.extend(fresh[: ANSWER_SIZE - len(chosen)])
-            if len(chosen) >= ANSWER_SIZE:
+            remaining = [member for member in tier if member not in selected]
+            remaining.sort(key=weight, reverse=True)
+            selected.extend(remaining[: MAX_ADDRESSES - len(selected)])
+            if len(selected) >= MAX_ADDRESSES:
                 break
-        return tuple(member.address for member in chosen)
+        return tuple(member.address for member in selected)
