--- a/packages/core/src/plantainloft_core/__init__.py
+++ b/packages/core/src/plantainloft_core/__init__.py
@@ -1,1 +1,1 @@
-"""Core of plantainloft: configuration model, decisions and outcomes."""
+"""Configuration model, load balancing and outcome types shared by all parts."""
--- a/packages/core/src/plantainloft_core/discovery.py
+++ b/packages/core/src/plantainloft_core/discovery.py
@@ -1,4 +1,4 @@
-"""Service discovery: endpoint incarnations as the platform lists them."""
+"""Service discovery: endpoints as the platform lists them."""
 
 from typing import NamedTuple
 
@@ -6,13 +6,12 @@
 
 
 class EndpointRecord(NamedTuple):
-    """One incarnation of an endpoint.
+    """One incarnation of an endpoint, that is, one run of it.
 
-    ``cold_s`` is how long it stays cold, counted from when its row was
-    written; ``address`` is ``host:port``; ``born_ms`` is when it started, in
-    Unix milliseconds, 0 where its row does not say. An endpoint may start
-    again under its id: the time of its start tells one incarnation from
-    the next.
+    ``address`` is ``host:port``. ``cold_s`` is how long the endpoint stays
+    cold after its row was written. ``born_ms`` is its start time in Unix
+    milliseconds, or 0 if the row does not contain it. An endpoint may restart
+    with the same ID; the start time distinguishes its incarnations.
     """
 
     id: str
@@ -26,9 +25,9 @@
 
     @property
     def incarnation(self) -> str:
-        """What names this start of the endpoint, and no other.
+        """The unique ID of this incarnation.
 
-        An endpoint that starts again may be listed at once, without ever
-        being seen to leave.
+        An endpoint that restarts may be listed again at once, without ever
+        being observed as gone.
         """
         return f'{self.id}@{self.born_ms}@{self.address}'
--- a/packages/core/src/plantainloft_core/outcomes.py
+++ b/packages/core/src/plantainloft_core/outcomes.py
@@ -1,7 +1,7 @@
-"""Tagged outcomes: every answer the system gives is one of these values.
+"""Outcome types: the results of requests, commits and calls to the platform.
 
-Errors are values here. A caller matches on the class; only a broken
-invariant raises.
+Errors are returned as values of these types, and callers match on the class.
+Exceptions are raised only for violated invariants.
 """
 
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Served:
-    """The endpoint ran the request and this is its whole answer."""
+    """The endpoint executed the request; this is its complete response."""
 
     status: int
     body: bytes
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refused:
-    """The request did not run; the caller may come back after a delay.
+    """The request was not executed; the caller may retry after a delay.
 
-    ``retry_after_s`` is whole seconds, as in the ``Retry-After`` header.
+    ``retry_after_s`` is in whole seconds, as in the ``Retry-After`` header.
     """
 
     reason: str
@@ -42,28 +42,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Unknown:
-    """The request may or may not have run; only the endpoint can tell."""
+    """The request may or may not have been executed; only the endpoint knows."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Quarantined:
-    """The request is sent to no endpoint: endpoints crash that run it."""
+    """The request is not forwarded because endpoints crash when they run it."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Unauthorised:
-    """No organisation holds the key that came with the request; it did not run."""
+    """The request was not executed: its key belongs to no organisation."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limited:
-    """The request is beyond its organisation's limit and did not run."""
+    """The request exceeds its organisation's rate limit and was not executed."""
 
     reason: str
     retry_after_s: float
@@ -71,27 +71,27 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Committed:
-    """A configuration patch became version ``version``."""
+    """A configuration patch was committed as ``version``."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Conflict:
-    """A patch named a version that is no longer current."""
+    """A patch was submitted against a version that is no longer current."""
 
     current_version: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Invalid:
-    """A document or patch broke the schema; every problem is listed."""
+    """A document or patch violates the schema; ``problems`` lists all violations."""
 
     problems: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Unreachable:
-    """The platform's table service did not answer, or answered an error."""
+    """The platform's table service did not respond, or returned an error."""
 
     reason: str
