--- a/packages/core/src/plantainloft_core/routes.py
+++ b/packages/core/src/plantainloft_core/routes.py
@@ -1,8 +1,8 @@
-"""Routes: which requests go to which service, and on what terms.
+"""Routes: which requests go to which service, and how they are forwarded.
 
-A ``RouteTable`` is one numbered version of everything that forwarding
-reads from the declarations. It is immutable, so a request that holds one
-sees one version from start to end.
+A ``RouteTable`` is one numbered version of all the declared settings that
+forwarding uses. It is immutable, so a request that keeps a reference to it
+sees the same version from start to end.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,7 +11,7 @@
 from plantainloft_core.organisations import NO_ORGANISATIONS, Organisation, OrganisationBook
 
 __all__ = [
-    'NOWHERE',
+    'NO_REGIONS',
     'CallerLimits',
     'Route',
     'RouteTable',
@@ -20,25 +20,25 @@
     'build_route_table',
 ]
 
-# Regions of a route that may run in none.
-NOWHERE = frozenset(('',))
+# The regions of a route that may run in no region. An empty set would mean all.
+NO_REGIONS = frozenset(('',))
 
 
 class ServiceShare(NamedTuple):
-    """A service and its weight (any positive unit) in a route's split."""
+    """A service and its relative weight in the traffic split of a route."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """The requests of ``host`` whose path starts with ``prefix``.
+    """A route for the requests to ``host`` whose path starts with ``prefix``.
 
-    ``timeout_s`` is the longest a caller is kept waiting, ``objective_s``
-    the latency aimed at, ``max_attempts`` how many endpoints one request
-    may be sent to, ``priority`` its rank (0 is served first). ``regions``
-    names the only regions it may run in; empty means all. ``public`` asks
-    callers for no key, where organisations are declared.
+    ``timeout_s`` is the longest time that a caller waits, ``objective_s`` the
+    latency objective, ``max_attempts`` the number of endpoints that a request
+    may be sent to, and ``priority`` its rank (0 is served first). ``regions``
+    are the only regions in which requests may run; an empty set means all. A
+    ``public`` route requires no key, even if organisations are declared.
     """
 
     name: str
@@ -55,23 +55,23 @@
     public: bool = False
 
     def on_terms_of(self, organisation: Organisation) -> 'Route':
-        """Return this route as it is for a request of ``organisation``.
+        """Return this route with the settings of ``organisation`` applied.
 
-        The regions are those that both allow. There may be none: then no
-        endpoint may be used, which ``NOWHERE`` says.
+        The regions are those that both allow. If there are none, they are
+        ``NO_REGIONS``, and no endpoint may be used.
         """
         priority = self.priority if organisation.priority is None else organisation.priority
         regions = self.regions or organisation.regions
         if self.regions and organisation.regions:
-            regions = (self.regions & organisation.regions) or NOWHERE
+            regions = (self.regions & organisation.regions) or NO_REGIONS
         return self._replace(priority=priority, regions=regions)
 
 
 class ServiceSpec(NamedTuple):
-    """What endpoints of a service can take.
+    """The load that endpoints of a service can take.
 
-    ``cold_rate`` is the requests a second that a cold endpoint bears,
-    ``warmup_s`` how long one stays cold after its start.
+    ``cold_rate`` is the number of requests per second that a cold endpoint can
+    take, and ``warmup_s`` is how long an endpoint is cold after its start.
     """
 
     name: str
@@ -82,7 +82,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bounds on what a caller may send, and on how slowly."""
+    """Limits on the size and duration of what a caller sends."""
 
     header_bytes: int = 16384
     body_bytes: int = 67108864
@@ -101,11 +101,11 @@
 
     @property
     def asks_for_keys(self) -> bool:
-        """Whether routes that are not public ask callers for a key."""
+        """Whether routes that are not public require a key."""
         return bool(self.organisations.by_name)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix of ``path``."""
+        """Return the route of ``host`` with the longest prefix that matches ``path``."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -121,13 +121,13 @@
     organisations: OrganisationBook = NO_ORGANISATIONS,
 ) -> RouteTable:
     """Index ``routes`` by host, longest prefix first."""
-    by_host: dict[str, list[Route]] = {}
-    longest_first = sorted(routes, key=lambda one: -len(one.prefix))
+    routes_by_host: dict[str, list[Route]] = {}
+    longest_first = sorted(routes, key=lambda route: -len(route.prefix))
     for route in longest_first:
-        by_host.setdefault(route.host, []).append(route)
+        routes_by_host.setdefault(route.host, []).append(route)
     return RouteTable(
         version=version,
-        routes_by_host={host: tuple(found) for host, found in by_host.items()},
+        routes_by_host={name: tuple(host_routes) for name, host_routes in routes_by_host.items()},
         services_by_name={service.name: service for service in services},
         limits=limits,
         organisations=organisations,
--- a/packages/core/src/plantainloft_core/serving.py
+++ b/packages/core/src/plantainloft_core/serving.py
@@ -1,8 +1,8 @@
 """Serve an ASGI application with hypercorn until SIGTERM or SIGINT.
 
-A planned stop must cut no request in flight: on the signal the server
-stops accepting, runs ``on_stop`` (where a node tells the others it is
-leaving), then waits up to ``grace_s`` for requests in flight to end.
+A planned stop must not abort requests in flight. On the signal, ``on_stop``
+runs, in which a node tells the others that it is leaving. Then the server
+stops accepting requests and waits up to ``grace_s`` for those in flight.
 """
 
 import logging
@@ -37,7 +37,7 @@
     async def watch_signals() -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for signum in signals:
-                log.info('Serve: signal %s, stopping gracefully.', signum)
+                log.info('Serve: received signal %s, shutting down gracefully.', signum)
                 if on_stop is not None:
                     await on_stop()
                 stopping.set()
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -15,7 +15,7 @@
     digest_key,
 )
 from plantainloft_core.outcomes import Invalid
-from plantainloft_core.routes import NOWHERE, RouteTable
+from plantainloft_core.routes import NO_REGIONS, RouteTable
 from plantainloft_node.replica.news import DECLARATIONS, NewsRow, RoutesDeclared
 from plantainloft_platform.documents import decode_row
 from plantainloft_platform.organisations import without_keys
@@ -143,7 +143,7 @@
     overlapping = FILES._replace(regions=frozenset(('izmir', 'istanbul')))
     assert overlapping.on_terms_of(organisation).regions == {'izmir'}
     disjoint = FILES._replace(regions=frozenset(('istanbul',)))
-    assert disjoint.on_terms_of(organisation).regions == NOWHERE
+    assert disjoint.on_terms_of(organisation).regions == NO_REGIONS
 
 
 def test_priority_of_an_organisation_overrides_that_of_the_route() -> None:
