--- a/packages/core/src/plantainloft_core/model.py
+++ b/packages/core/src/plantainloft_core/model.py
@@ -40,7 +40,8 @@
 
     Nodes move traffic away from a region that is ``evacuating``, in steps
     within each service's shift cap. ``entry_instances`` is the number of entry
-    instances planned in the region, by which its capacity is divided.
+    instances planned in the region. The shares of the regions' capacity that
+    each of them may use depend on it.
     """
 
     name: str
--- a/packages/core/src/plantainloft_core/versions.py
+++ b/packages/core/src/plantainloft_core/versions.py
@@ -136,7 +136,7 @@
     config = parse_configuration(document, version=number)
     if isinstance(config, Invalid):
         return config
-    change = changes[-1] if changes else await read_change(client, number)
-    if isinstance(change, Unreachable | Invalid):
-        return change
-    return Version(document=document, config=config, change=change)
+    last_change = changes[-1] if changes else await read_change(client, number)
+    if isinstance(last_change, Unreachable | Invalid):
+        return last_change
+    return Version(document=document, config=config, change=last_change)
