--- a/packages/node/src/plantainloft_node/fleet/__init__.py
+++ b/packages/node/src/plantainloft_node/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The other entry instances: who is there, what they know."""
+"""Fleet membership and the exchange of reports between entry instances."""
--- a/packages/node/src/plantainloft_node/fleet/beats.py
+++ b/packages/node/src/plantainloft_node/fleet/beats.py
@@ -1,8 +1,8 @@
-"""The fleet's datagrams: rounds of them sent, and others' received.
+"""Sends and receives the heartbeat datagrams of the fleet.
 
-A datagram needs no connection, so none can go silent, and one slow peer
-holds up nobody. What a report only hints at (newer rows) is asked for by a
-call on a stream.
+Datagrams need no connection, so there is no connection that can stall, and a
+slow peer delays nobody else. Data that a report only announces, such as newer
+rows, is fetched by a call on a stream.
 """
 
 import logging
@@ -23,15 +23,15 @@
 log = logging.getLogger(__name__)
 
 BEAT_S = 0.5
-# News that others should hear of now come many at once when a zone starts;
-# so long is waited for further ones.
+# Delay before an urgent round. When a zone starts, many urgent changes arrive
+# together, and one round then carries all of them.
 URGENT_AFTER_S = 0.1
-# A stranger that sends rubbish is logged this often at most.
-BAD_LOG_EVERY_S = 10.0
+# Limits the log lines that an unknown sender of malformed datagrams can cause.
+MALFORMED_LOG_INTERVAL_S = 10.0
 
 
 class BeatExchange:
-    """Sends this instance's rounds and takes the datagrams of the others."""
+    """Sends this instance's rounds of datagrams and receives those of its peers."""
 
     def __init__(
         self,
@@ -55,12 +55,12 @@
         )
         self._socket: UDPSocket | None = None
         self._sending = anyio.Lock()
-        self._urgent = anyio.Event()
-        self._was_up: set[str] = set()
-        self._bad_logged_at = float('-inf')
+        self._round_requested = anyio.Event()
+        self._previously_up: set[str] = set()
+        self._malformed_logged_at = float('-inf')
 
     async def run(self) -> None:
-        """Send and receive until cancelled."""
+        """Send and receive datagrams until cancelled."""
         host, _, port = self._members.me.peer.rpartition(':')
         socket = await anyio.create_udp_socket(local_host=host, local_port=int(port))
         self._socket = socket
@@ -69,16 +69,16 @@
             await self._receive(socket)
 
     async def send_round(self, *, to_all: bool = False) -> None:
-        """Tell the others now; ``to_all``: also those who are not due yet."""
+        """Send a round now; ``to_all`` includes peers that are not due yet."""
         for message in self._relaying.round(anyio.current_time(), to_all=to_all):
             await self._send(message)
 
     def hurry(self) -> None:
-        """Tell the others within a moment."""
-        self._urgent.set()
+        """Schedule a round within ``URGENT_AFTER_S``."""
+        self._round_requested.set()
 
     async def tell_readers(self) -> None:
-        """Tell those who rest while this instance follows the store."""
+        """Send reports to subscribers, which do not poll the store themselves."""
         for message in self._relaying.to_readers(anyio.current_time()):
             await self._send(message)
 
@@ -88,11 +88,11 @@
             await self.send_round(to_all=to_all)
             self._log_changes()
             with anyio.move_on_after(BEAT_S):
-                await self._urgent.wait()
-            to_all = self._urgent.is_set()
+                await self._round_requested.wait()
+            to_all = self._round_requested.is_set()
             if to_all:
                 await anyio.sleep(URGENT_AFTER_S)
-                self._urgent = anyio.Event()
+                self._round_requested = anyio.Event()
 
     async def _send(self, message: Message) -> None:
         host, _, port = message.address.rpartition(':')
@@ -102,39 +102,39 @@
             async with self._sending:
                 await self._socket.sendto(message.packed, host, int(port))
         except OSError as exc:
-            log.debug('Fleet: datagram to %s not sent (%s).', message.address, exc)
+            log.debug('Fleet: could not send a datagram to %s: %s', message.address, exc)
 
     async def _receive(self, socket: UDPSocket) -> None:
         while True:
             packed, (host, _) = await socket.receive()
             now = anyio.current_time()
-            taken = self._intake.take(packed, host, now)
-            if taken is None:
-                self._log_bad(host, now)
+            result = self._intake.take(packed, host, now)
+            if result is None:
+                self._log_malformed(host, now)
                 continue
-            if taken.is_urgent:
-                self._urgent.set()
-            for hint in taken.hints:
+            if result.is_urgent:
+                self._round_requested.set()
+            for hint in result.hints:
                 self._on_hint(hint)
 
-    def _log_bad(self, host: str, now: float) -> None:
-        if now - self._bad_logged_at < BAD_LOG_EVERY_S:
+    def _log_malformed(self, host: str, now: float) -> None:
+        if now - self._malformed_logged_at < MALFORMED_LOG_INTERVAL_S:
             return
-        self._bad_logged_at = now
+        self._malformed_logged_at = now
         log.warning(
-            'Fleet: a datagram from %s is not understood.', host, extra={'kind': 'bad_beat'}
+            'Fleet: ignored a malformed datagram from %s.', host, extra={'kind': 'bad_beat'}
         )
 
     def _log_changes(self) -> None:
         now = anyio.current_time()
         up = {member.name for member in self._members.up(now)}
-        came, went = up - self._was_up, self._was_up - up
-        if came or went:
+        joined, lost = up - self._previously_up, self._previously_up - up
+        if joined or lost:
             log.info(
-                'Fleet: %d came up, %d went down, %d are up.',
-                len(came),
-                len(went),
+                'Fleet: %d instances came up, %d went down, %d are up.',
+                len(joined),
+                len(lost),
                 len(up),
-                extra={'kind': 'member', 'fields': {'up': sorted(came), 'down': sorted(went)}},
+                extra={'kind': 'member', 'fields': {'up': sorted(joined), 'down': sorted(lost)}},
             )
-        self._was_up = up
+        self._previously_up = up
--- a/packages/node/src/plantainloft_node/fleet/known.py
+++ b/packages/node/src/plantainloft_node/fleet/known.py
@@ -1,4 +1,4 @@
-"""The entry instances known by name, each as of its newest start."""
+"""The known entry instances by name, each with its newest incarnation."""
 
 from plantainloft_node.fleet.reports import FleetMember, member_key
 
@@ -6,29 +6,29 @@
 
 
 class KnownMembers:
-    """All instances known but this one, by name and by key."""
+    """All known instances except this one, by name and by key."""
 
     def __init__(self, *, me: FleetMember) -> None:
         self.me = me
         self._member_by_name: dict[str, FleetMember] = {}
         self._name_by_key: dict[int, str] = {member_key(me): me.name}
-        # Made when it is asked for after a change.
+        # Cached until the membership changes.
         self._members_by_zone: dict[str, list[FleetMember]] | None = None
 
     def get(self, name: str) -> FleetMember | None:
-        """Return the instance known as ``name``."""
+        """Return the instance called ``name``."""
         return self._member_by_name.get(name)
 
     def name_of(self, key: int) -> str | None:
-        """Return the name that ``key`` stands for, this instance's included."""
+        """Return the name of the instance with ``key``, which may be this one."""
         return self._name_by_key.get(key)
 
     def everyone(self) -> list[FleetMember]:
-        """Return every instance known but this one."""
+        """Return all known instances except this one."""
         return list(self._member_by_name.values())
 
     def by_zone(self) -> dict[str, list[FleetMember]]:
-        """Return all instances, this one included, by availability zone."""
+        """Return all instances, including this one, by availability zone."""
         if self._members_by_zone is None:
             self._members_by_zone = {self.me.zone: [self.me]}
             for member in self._member_by_name.values():
@@ -36,7 +36,7 @@
         return dict(self._members_by_zone)
 
     def put(self, member: FleetMember) -> bool:
-        """Take ``member``; return whether it replaces another start of it."""
+        """Add or update ``member``; return whether it replaced another incarnation."""
         known = self._member_by_name.get(member.name)
         if known == member:
             return False
@@ -48,7 +48,7 @@
         return known is not None and known.incarnation != member.incarnation
 
     def drop(self, name: str) -> None:
-        """Forget ``name``."""
+        """Remove the instance called ``name``."""
         known = self._member_by_name.pop(name)
         self._members_by_zone = None
         self._name_by_key.pop(member_key(known), None)
