--- a/packages/node/src/plantainloft_node/fleet/datagrams.py
+++ b/packages/node/src/plantainloft_node/fleet/datagrams.py
@@ -1,7 +1,7 @@
-"""Reports packed into datagrams, and read back strictly.
+"""Packs reports into datagrams and parses datagrams with strict validation.
 
-A datagram holds the name of who sends it, whether it wants reports in return,
-and one or several reports: its sender's own, and those that it passes on.
+A datagram carries the name of its sender, whether the sender wants reports in
+return, and reports: the sender's own and those that it forwards.
 """
 
 from collections.abc import Iterable, Mapping
@@ -9,8 +9,13 @@
 
 import msgpack
 
-from plantainloft_node.fleet.report_codec import MALFORMED, checked, checked_number, unpack_report
-from plantainloft_node.fleet.reports import NO_USES, ZoneReport
+from plantainloft_node.fleet.report_codec import (
+    DECODE_ERRORS,
+    require_non_negative,
+    require_type,
+    unpack_report,
+)
+from plantainloft_node.fleet.reports import NO_USAGE, ZoneReport
 from plantainloft_node.limits.uses import OrganisationUse, pack_uses, unpack_uses
 
 __all__ = [
@@ -21,22 +26,22 @@
     'unpack_datagram',
 ]
 
-# Datagrams of another format are not understood, and left out.
-FORMAT = 4
-# Longer ones may be cut into fragments on the way, and one lost fragment
-# loses all.
+# Datagrams with another format version are ignored.
+FORMAT_VERSION = 4
+# Longer datagrams may be fragmented in transit, and the loss of one fragment
+# loses the whole datagram.
 MAX_DATAGRAM_BYTES = 1200
 
 
 class PackedReport(NamedTuple):
-    """A report's bytes; ``held_s``: for how long one who passes it on had it."""
+    """An encoded report; ``held_s`` is how long its forwarder has held it."""
 
     packed: bytes
     held_s: float
 
 
 class ReceivedReport(NamedTuple):
-    """A report read, its bytes, and for how long its bringer held it."""
+    """A decoded report, its encoding, and how long its forwarder held it."""
 
     report: ZoneReport
     packed: bytes
@@ -44,16 +49,16 @@
 
 
 class Datagram(NamedTuple):
-    """What one datagram says; ``sender`` is a name, and may be forged.
+    """The content of a datagram; ``sender`` is unauthenticated and may be forged.
 
-    ``fleet_uses`` is what organisations use of their limits in all zones as far
-    as the sender knows, by organisation number; empty if it does not say.
+    ``fleet_usage`` is each organisation's usage of its limits in all zones, as far
+    as the sender knows, by organisation number. It is empty if not reported.
     """
 
     sender: str
     wants_reports: bool
     reports: tuple[ReceivedReport, ...]
-    fleet_uses: Mapping[int, OrganisationUse] = NO_USES
+    fleet_usage: Mapping[int, OrganisationUse] = NO_USAGE
 
 
 def pack_datagrams(
@@ -61,49 +66,54 @@
     *,
     wants_reports: bool,
     reports: Iterable[PackedReport],
-    fleet_uses: Mapping[int, OrganisationUse] = NO_USES,
+    fleet_usage: Mapping[int, OrganisationUse] = NO_USAGE,
 ) -> list[bytes]:
-    """Return as few datagrams as hold ``reports``, in their order.
+    """Pack ``reports`` in order into as few datagrams as possible.
 
-    ``fleet_uses`` goes in one of its own, so that neither crowds the other out.
+    ``fleet_usage`` gets a datagram of its own, so that usage and reports do not
+    compete for space.
     """
-    packed_uses = pack_uses(fleet_uses)
+    packed_usage = pack_uses(fleet_usage)
     batches: list[list[PackedReport]] = []
-    room = 0
+    remaining_bytes = 0
     for report in reports:
-        if not batches or len(report.packed) > room:
+        if not batches or len(report.packed) > remaining_bytes:
             batches.append([])
-            room = MAX_DATAGRAM_BYTES
+            remaining_bytes = MAX_DATAGRAM_BYTES
         batches[-1].append(report)
-        room -= len(report.packed)
+        remaining_bytes -= len(report.packed)
     packed = [_pack(sender, wants_reports, batch) for batch in batches]
-    if packed_uses:
-        packed.append(_pack(sender, wants_reports, [], packed_uses))
+    if packed_usage:
+        packed.append(_pack(sender, wants_reports, [], packed_usage))
     return packed
 
 
 def unpack_datagram(packed: bytes) -> Datagram | None:
-    """Return what ``packed`` says, ``None`` if it is no datagram of ours."""
+    """Parse ``packed``; returns ``None`` if it is not a valid datagram."""
     try:
-        return _datagram(msgpack.unpackb(packed))
-    except MALFORMED:
+        return _parse_datagram(msgpack.unpackb(packed))
+    except DECODE_ERRORS:
         return None
 
 
 def _pack(sender: str, wants_reports: bool, batch: list[PackedReport], uses: bytes = b'') -> bytes:
     packed: bytes = msgpack.packb(
-        [FORMAT, sender, wants_reports, [list(report) for report in batch], uses]
+        [FORMAT_VERSION, sender, wants_reports, [list(report) for report in batch], uses]
     )
     return packed
 
 
-def _datagram(raw: Any) -> Datagram:
-    if raw[0] != FORMAT:
-        raise ValueError('another format')
+def _parse_datagram(raw: Any) -> Datagram:
+    if raw[0] != FORMAT_VERSION:
+        raise ValueError(f'format version {raw[0]!r} is not supported')
     sender, wants_reports, items, uses = raw[1:]
     reports = tuple(
-        ReceivedReport(unpack_report(checked(packed, bytes)), packed, checked_number(held_s))
+        ReceivedReport(
+            unpack_report(require_type(packed, bytes)), packed, require_non_negative(held_s)
+        )
         for packed, held_s in items
     )
-    fleet_uses = unpack_uses(checked(uses, bytes))
-    return Datagram(checked(sender, str), checked(wants_reports, bool), reports, fleet_uses)
+    fleet_usage = unpack_uses(require_type(uses, bytes))
+    return Datagram(
+        require_type(sender, str), require_type(wants_reports, bool), reports, fleet_usage
+    )
--- a/packages/node/src/plantainloft_node/fleet/demand.py
+++ b/packages/node/src/plantainloft_node/fleet/demand.py
@@ -1,8 +1,8 @@
-"""The demand of the fleet's callers, by availability zone."""
+"""Aggregates the demand and limit usage of the fleet's callers."""
 
 from collections.abc import Iterable, Mapping
 
-from plantainloft_node.fleet.heard import HeardBeat, ZoneDemand
+from plantainloft_node.fleet.heard import ReceivedHeartbeat, ZoneDemand
 from plantainloft_node.fleet.members import DOWN_AFTER_S, MemberBook
 from plantainloft_node.limits.shares import FleetSize
 from plantainloft_node.limits.uses import OrganisationUse, add_up_uses
@@ -11,78 +11,79 @@
     'demand_of_zones',
     'fleet_size',
     'has_fresh_uses',
-    'heard_in_zone',
-    'rates_in_zone',
-    'uses_in_zone',
     'uses_of_fleet',
+    'zone_heartbeats',
+    'zone_request_rates',
+    'zone_usage',
 ]
 
-# Sums come twice a second.
-FRESH_S = 0.8
-# An instance that relays is told of no sums any more.
-FORGOTTEN_AFTER_S = 5.0
+# Relays send fleet-wide usage twice a second.
+FRESH_USAGE_S = 0.8
+# An instance that becomes a relay is no longer sent fleet-wide usage.
+REPORTED_USAGE_EXPIRY_S = 5.0
 
 
-def heard_in_zone(members: MemberBook, now: float) -> list[HeardBeat]:
-    """Return the beats heard lately from the own availability zone."""
+def zone_heartbeats(members: MemberBook, now: float) -> list[ReceivedHeartbeat]:
+    """Return the recent heartbeats of this instance's availability zone."""
     return members.heard.since(now - DOWN_AFTER_S, zone=members.me.zone)
 
 
-def rates_in_zone(
-    heard_in_zone: Iterable[HeardBeat], mine: Mapping[str, float]
+def zone_request_rates(
+    heartbeats: Iterable[ReceivedHeartbeat], mine: Mapping[str, float]
 ) -> dict[str, float]:
-    """Add up this instance's rates and those heard in its availability zone.
+    """Add up the request rates of this instance and of its availability zone.
 
-    ``mine``: this instance's requests a second by service.
+    ``mine`` is this instance's requests per second by service.
     """
     total = dict(mine)
-    for heard in heard_in_zone:
-        for service, rate in heard.beat.rate_by_service.items():
+    for received in heartbeats:
+        for service, rate in received.beat.rate_by_service.items():
             total[service] = total.get(service, 0.0) + rate
     return total
 
 
-def uses_in_zone(
-    heard_in_zone: Iterable[HeardBeat], mine: Mapping[int, OrganisationUse]
+def zone_usage(
+    heartbeats: Iterable[ReceivedHeartbeat], mine: Mapping[int, OrganisationUse]
 ) -> dict[int, OrganisationUse]:
-    """Add up this instance's uses and those heard in its availability zone.
+    """Add up the limit usage of this instance and of its availability zone.
 
-    ``mine``: what organisations use of their limits at this instance.
+    ``mine`` is what organisations use of their limits at this instance.
     """
-    uses = [heard.beat.use_by_organisation for heard in heard_in_zone]
-    return add_up_uses((mine, *uses))
+    usage = [received.beat.use_by_organisation for received in heartbeats]
+    return add_up_uses((mine, *usage))
 
 
 def uses_of_fleet(
     members: MemberBook, mine: Mapping[int, OrganisationUse], now: float
 ) -> dict[int, OrganisationUse]:
-    """Add up what organisations use of their limits in all availability zones."""
-    reported = members.reported_uses
+    """Return what organisations use of their limits in all availability zones."""
+    reported = members.reported_usage
     if reported is not None and now - reported.at < DOWN_AFTER_S:
         return dict(reported.use_by_organisation)
     demand_by_zone = members.demands.by_zone(now)
     demand_by_zone.pop(members.me.zone, None)
     elsewhere = (zone.use_by_organisation for zone in demand_by_zone.values())
-    return add_up_uses((uses_in_zone(heard_in_zone(members, now), mine), *elsewhere))
+    return add_up_uses((zone_usage(zone_heartbeats(members, now), mine), *elsewhere))
 
 
 def has_fresh_uses(members: MemberBook, now: float) -> bool:
-    """Return whether uses were reported to this instance a moment ago.
+    """Return whether the fleet-wide usage known here is current.
 
-    One that is told by nobody adds up what it hears itself.
+    An instance that no relay reports usage to adds up the usage itself, which
+    is always current.
     """
-    reported = members.reported_uses
+    reported = members.reported_usage
     if reported is None:
         return True
     age_s = now - reported.at
-    return age_s < FRESH_S or age_s >= FORGOTTEN_AFTER_S
+    return age_s < FRESH_USAGE_S or age_s >= REPORTED_USAGE_EXPIRY_S
 
 
 def fleet_size(members: MemberBook, now: float) -> FleetSize:
-    """Return how many instances count for shared limits, and are up.
+    """Return how many instances share limits, and how many of them are reachable.
 
-    One that hears nobody reaches nobody, though it may believe others up for
-    longer.
+    An instance that receives no heartbeats counts only itself as reachable, even
+    while the statuses of its peers have not expired yet.
     """
     counted = members.sharing(now)
     if members.heard.newest_at() <= now - DOWN_AFTER_S:
@@ -95,7 +96,7 @@
     """Return the demand of each availability zone."""
     demand_by_zone = members.demands.by_zone(now)
     if members.me.zone not in demand_by_zone:
-        rates = rates_in_zone(heard_in_zone(members, now), mine)
-        heard = ZoneDemand(members.me.region, rates)
-        demand_by_zone[members.me.zone] = heard
+        rates = zone_request_rates(zone_heartbeats(members, now), mine)
+        demand = ZoneDemand(members.me.region, rates)
+        demand_by_zone[members.me.zone] = demand
     return list(demand_by_zone.values())
--- a/packages/node/src/plantainloft_node/fleet/liveness.py
+++ b/packages/node/src/plantainloft_node/fleet/liveness.py
@@ -1,17 +1,18 @@
-"""Signs of life of other instances, heard from them or told by others."""
+"""Liveness of other instances, observed directly or reported by peers."""
 
 from typing import NamedTuple
 
-__all__ = ['Sign', 'SignBook']
+__all__ = ['Liveness', 'LivenessTable']
 
 
-class Sign(NamedTuple):
-    """The newest sign of an instance, in seconds of this instance's clock.
+class Liveness(NamedTuple):
+    """The newest status of an instance; times are in seconds of the local clock.
 
-    ``follows``: it follows the store and is in touch with it.
+    ``follows``: the instance polls the store and reaches it.
 
-    ``at``: when somebody heard it; ``until``: taken for up till then;
-    ``since``: up without a gap from then on.
+    ``at``: when a heartbeat was last received, here or by a peer. ``until``: when
+    the instance counts as down without a newer one. ``since``: start of the
+    current uninterrupted time up.
     """
 
     ready: bool
@@ -22,58 +23,58 @@
     since: float
 
 
-class SignBook:
-    """The newest sign of each instance; older ones never replace newer."""
+class LivenessTable:
+    """The newest liveness of each instance; older data never replaces newer."""
 
     def __init__(self) -> None:
-        self._sign_by_name: dict[str, Sign] = {}
+        self._liveness_by_name: dict[str, Liveness] = {}
 
-    def note(self, name: str, told: Sign, now: float) -> bool:
-        """Take a sign; return whether ``name`` was not up before."""
-        before = self._sign_by_name.get(name)
-        if before is None:
-            self._sign_by_name[name] = told
+    def record(self, name: str, reported: Liveness, now: float) -> bool:
+        """Merge new liveness of ``name``; return whether it was down or unknown before."""
+        known = self._liveness_by_name.get(name)
+        if known is None:
+            self._liveness_by_name[name] = reported
             return True
-        was_up = now < before.until
-        newest = told if told.at >= before.at else before
-        self._sign_by_name[name] = newest._replace(
-            # Nobody who leaves stays after all. Told by two at once, the one
-            # that has not heard of it yet would bring callers back.
-            leaving=told.leaving or before.leaving,
-            until=max(told.until, before.until),
-            since=before.since if was_up else told.at,
+        was_up = now < known.until
+        newest = reported if reported.at >= known.at else known
+        self._liveness_by_name[name] = newest._replace(
+            # Leaving is never revoked. Of two peers that report the instance,
+            # the one that has not learned of it yet would bring callers back.
+            leaving=reported.leaving or known.leaving,
+            until=max(reported.until, known.until),
+            since=known.since if was_up else reported.at,
         )
         return not was_up
 
     def drop(self, name: str) -> None:
-        """Forget the signs of ``name``: it is gone, or has started again."""
-        self._sign_by_name.pop(name, None)
+        """Remove the liveness of ``name``, which is gone or has restarted."""
+        self._liveness_by_name.pop(name, None)
 
-    def get(self, name: str) -> Sign | None:
-        """Return the newest sign of ``name``, however old."""
-        return self._sign_by_name.get(name)
+    def get(self, name: str) -> Liveness | None:
+        """Return the newest liveness of ``name``, even if it has expired."""
+        return self._liveness_by_name.get(name)
 
     def is_up(self, name: str, now: float) -> bool:
         """Return whether ``name`` is up."""
-        sign = self._sign_by_name.get(name)
-        return sign is not None and now < sign.until
+        liveness = self._liveness_by_name.get(name)
+        return liveness is not None and now < liveness.until
 
     def is_leaving(self, name: str) -> bool:
-        """Return whether ``name`` has said that it leaves."""
-        sign = self._sign_by_name.get(name)
-        return sign is not None and sign.leaving
+        """Return whether ``name`` has announced that it is shutting down."""
+        liveness = self._liveness_by_name.get(name)
+        return liveness is not None and liveness.leaving
 
-    def is_staying(self, name: str) -> bool:
-        """Return whether ``name`` was last ready and does not leave."""
-        sign = self._sign_by_name.get(name)
-        return sign is not None and sign.ready and not sign.leaving
+    def is_available(self, name: str) -> bool:
+        """Return whether ``name`` was last reported as ready and is not leaving."""
+        liveness = self._liveness_by_name.get(name)
+        return liveness is not None and liveness.ready and not liveness.leaving
 
     def is_following(self, name: str) -> bool:
-        """Return whether ``name`` was last in touch with the store."""
-        sign = self._sign_by_name.get(name)
-        return sign is not None and sign.follows
+        """Return whether ``name`` last reported that it reaches the store."""
+        liveness = self._liveness_by_name.get(name)
+        return liveness is not None and liveness.follows
 
     def up_for_s(self, name: str, now: float) -> float:
-        """Return for how long ``name`` has been up without a gap."""
-        sign = self._sign_by_name.get(name)
-        return now - sign.since if sign is not None and now < sign.until else 0.0
+        """Return how long ``name`` has been up without interruption."""
+        liveness = self._liveness_by_name.get(name)
+        return now - liveness.since if liveness is not None and now < liveness.until else 0.0
--- a/packages/node/src/plantainloft_node/fleet/ranking.py
+++ b/packages/node/src/plantainloft_node/fleet/ranking.py
@@ -1,4 +1,7 @@
-"""Which instances relay: the same for all who know the same of each other."""
+"""Selects the relays of an availability zone by rendezvous hashing.
+
+Instances with the same view of the membership select the same relays.
+"""
 
 from collections.abc import Iterable
 
@@ -6,48 +9,62 @@
 from plantainloft_node.fleet.reports import FleetMember
 from plantainloft_node.placing.affinity import score
 
-__all__ = ['RELAYS', 'asked_in', 'down_in', 'is_answering', 'ranked_in', 'relays_in']
+__all__ = ['RELAYS', 'down_members', 'is_answering', 'ranked_in', 'relays_in', 'report_targets']
 
-# With two an availability zone, one may be lost, slow or cut off without
-# anybody noticing.
+# Relays per availability zone. With two, one may be lost, slow or partitioned
+# without effect.
 RELAYS = 2
-# So many more are told while relays are silent, after two missing reports.
-STAND_BYS = 2
-SILENT_AFTER_S = 1.2
+# Additional instances that receive reports while relays are unresponsive.
+STANDBYS = 2
+# Two reports in a row are missing.
+UNRESPONSIVE_AFTER_S = 1.2
 
 
 def relays_in(zone: Iterable[FleetMember], members: MemberBook, now: float) -> list[FleetMember]:
-    """Return the first in rank of those of ``zone`` that are up and stay.
+    """Return the relays of ``zone``: its highest ranked instances.
 
-    This instance counts as up; where nobody else is, it is a relay.
+    Only instances that are up and not leaving are considered. This instance
+    always counts as one of them, and is a relay if it is alone in its zone.
     """
     return ranked_in(zone, members, now)[:RELAYS]
 
 
-def asked_in(zone: Iterable[FleetMember], members: MemberBook, now: float) -> list[FleetMember]:
-    """Return whom of the own availability zone this instance tells of itself.
+def report_targets(
+    zone: Iterable[FleetMember], members: MemberBook, now: float
+) -> list[FleetMember]:
+    """Return the instances of its own zone that this instance sends reports to.
 
-    Its relays, and the next in rank for each that has been silent for a
-    moment. With both relays lost at once, those who wait until they are down
-    would know of nobody in their availability zone till the next ones answer.
+    These are the relays, and the next in rank for each relay that has become
+    unresponsive. If both relays were lost at once and the next ones were asked
+    only after the relays count as down, this instance would know of no others in
+    its zone until the next ones answer.
     """
-    asked: list[FleetMember] = []
+    targets: list[FleetMember] = []
     answering = 0
-    for member in ranked_in(zone, members, now)[: RELAYS + STAND_BYS]:
+    for member in ranked_in(zone, members, now)[: RELAYS + STANDBYS]:
         if answering < RELAYS:
-            asked.append(member)
+            targets.append(member)
             answering += member == members.me or is_answering(member, members, now)
-    return [member for member in asked if member != members.me]
+    return [member for member in targets if member != members.me]
 
 
-def down_in(zone: Iterable[FleetMember], members: MemberBook, now: float) -> list[FleetMember]:
-    """Return the others of ``zone`` that are not up."""
-    return [one for one in zone if one != members.me and not members.is_up(one.name, now)]
+def down_members(zone: Iterable[FleetMember], members: MemberBook, now: float) -> list[FleetMember]:
+    """Return the other instances of ``zone`` that are not up."""
+    return [
+        member for member in zone if member != members.me and not members.is_up(member.name, now)
+    ]
 
 
 def ranked_in(zone: Iterable[FleetMember], members: MemberBook, now: float) -> list[FleetMember]:
-    """Return those of ``zone`` that are up and stay, this instance included, by rank."""
-    staying = [one for one in zone if one == members.me or _stays(one, members, now)]
+    """Return the instances of ``zone`` that are up and not leaving, by rank.
+
+    Includes this instance if it is in ``zone``.
+    """
+    staying = [
+        member
+        for member in zone
+        if member == members.me or _is_up_and_staying(member, members, now)
+    ]
     return sorted(staying, key=_rank, reverse=True)
 
 
@@ -56,10 +73,10 @@
 
 
 def is_answering(member: FleetMember, members: MemberBook, now: float) -> bool:
-    """Return whether ``member`` was heard here a moment ago."""
+    """Return whether ``member`` has recently sent a heartbeat to this instance."""
     heard_at = members.heard.at(member.name)
-    return heard_at is not None and now - heard_at < SILENT_AFTER_S
+    return heard_at is not None and now - heard_at < UNRESPONSIVE_AFTER_S
 
 
-def _stays(member: FleetMember, members: MemberBook, now: float) -> bool:
+def _is_up_and_staying(member: FleetMember, members: MemberBook, now: float) -> bool:
     return members.is_up(member.name, now) and not members.signs.is_leaving(member.name)
--- a/packages/node/src/plantainloft_node/fleet/reports.py
+++ b/packages/node/src/plantainloft_node/fleet/reports.py
@@ -1,4 +1,4 @@
-"""What instances say of themselves and of those they hear."""
+"""Data exchanged between entry instances: heartbeats and zone reports."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -8,16 +8,17 @@
 from plantainloft_node.placing.affinity import score
 from plantainloft_node.quarantine.crashes import CrashReport
 
-__all__ = ['NO_USES', 'Beat', 'FleetMember', 'ZoneEntry', 'ZoneReport', 'member_key']
+__all__ = ['NO_USAGE', 'Beat', 'FleetMember', 'MemberStatus', 'ZoneReport', 'member_key']
 
-NO_USES: Mapping[int, OrganisationUse] = MappingProxyType({})
+NO_USAGE: Mapping[int, OrganisationUse] = MappingProxyType({})
 
 
 class FleetMember(NamedTuple):
-    """An entry instance: where it is, and its start (``incarnation``).
+    """An entry instance: its location, its addresses and its ``incarnation``.
 
-    ``front`` is the address callers use, ``peer`` the one for beats and
-    calls between instances; both ``host:port``.
+    ``incarnation`` is the time of its start. ``front`` is the address for callers,
+    ``peer`` the one for heartbeats and calls between instances; both are
+    ``host:port``.
     """
 
     name: str
@@ -29,14 +30,14 @@
 
 
 class Beat(NamedTuple):
-    """What an instance says of itself twice a second.
-
-    ``newest_by_table`` are the newest row versions that it knows,
-    ``rate_by_service`` its callers' requests a second. ``follows`` says whether
-    it follows the store and is in touch with it; ``store_served_s`` for how long
-    the store has served as far as it knows, in seconds, ``None`` while it does
-    not. ``use_by_organisation`` is what its callers' organisations use of their
-    limits, by organisation number.
+    """The heartbeat of an instance, sent twice a second.
+
+    ``newest_by_table`` has the newest row version that the instance knows of each
+    table, ``rate_by_service`` its callers' requests per second. ``follows`` says
+    whether it polls the store and reaches it. ``store_served_s`` is how long the
+    store has been available as far as the instance knows, in seconds, or ``None``
+    while it is unavailable. ``use_by_organisation`` is what the organisations of
+    its callers use of their limits, by organisation number.
     """
 
     member: FleetMember
@@ -46,11 +47,11 @@
     rate_by_service: dict[str, float]
     follows: bool = False
     store_served_s: float | None = None
-    use_by_organisation: Mapping[int, OrganisationUse] = NO_USES
+    use_by_organisation: Mapping[int, OrganisationUse] = NO_USAGE
 
 
-class ZoneEntry(NamedTuple):
-    """An instance as the reporter last heard it, ``age_s`` seconds ago."""
+class MemberStatus(NamedTuple):
+    """The status of an instance, from the heartbeat that was received ``age_s`` ago."""
 
     key: int
     ready: bool
@@ -60,27 +61,28 @@
 
 
 class ZoneReport(NamedTuple):
-    """A beat, and the availability zone as its sender hears it.
-
-    ``number`` grows from report to report of one start of the sender.
-    ``entries`` are the instances of the sender's availability zone that it
-    hears itself, and ``zone_rate_by_service`` their callers' requests a second;
-    both are empty in the report of an instance that nobody beats to, as is
-    ``zone_use_by_organisation``, what organisations use in that zone.
-    ``introduced`` are instances that have just come, whole, so that whoever is
-    told of their keys need not ask. ``crashes`` are endpoints that ended under
-    requests, as far as the sender knows of them.
+    """A heartbeat, and the sender's view of its availability zone.
+
+    ``sequence`` increases with each report of one incarnation of the sender.
+    ``statuses`` are the instances of the sender's availability zone that send it
+    heartbeats, ``zone_rate_by_service`` their callers' requests per second, and
+    ``zone_usage_by_organisation`` what organisations use of their limits in that
+    zone. All three are empty if the sender receives no heartbeats.
+
+    ``introduced`` has the full records of instances that have just joined, so that
+    receivers need not look up their keys. ``crashes`` are the endpoint crashes
+    during requests that the sender knows of.
     """
 
-    number: int
+    sequence: int
     beat: Beat
     zone_rate_by_service: dict[str, float]
-    entries: tuple[ZoneEntry, ...]
+    statuses: tuple[MemberStatus, ...]
     introduced: tuple[FleetMember, ...]
     crashes: tuple[CrashReport, ...] = ()
-    zone_use_by_organisation: Mapping[int, OrganisationUse] = NO_USES
+    zone_usage_by_organisation: Mapping[int, OrganisationUse] = NO_USAGE
 
 
 def member_key(member: FleetMember) -> int:
-    """Return the 32-bit number that stands for one start of an instance."""
+    """Return the 32-bit key that identifies one incarnation of an instance."""
     return score(member.name, str(member.incarnation))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Which instances count, by beats and lists."""
+"""Tests of fleet membership, by heartbeats and listings."""
 
 from plantainloft_node.entry.lookups import front_addresses
 from plantainloft_node.fleet.members import GONE_AFTER_S, Beat, FleetMember, MemberBook
@@ -15,7 +15,7 @@
     return Beat(member(name, incarnation=incarnation), True, leaving, {}, {})
 
 
-def share_of_e1(region_by_instance: dict[str, str]) -> int:
+def cold_share_of_e1(region_by_instance: dict[str, str]) -> int:
     return cold_share(
         bound=21.5,
         me='e1',
@@ -25,23 +25,23 @@
     )
 
 
-def test_an_instance_just_restarted_keeps_to_its_own_share_of_cold_limits() -> None:
-    """Symptom: cold endpoints get 33 requests a second where 21 are allowed.
+def test_a_restarted_instance_uses_only_its_share_of_the_cold_limits() -> None:
+    """Guards against cold endpoints that get 33 requests a second instead of 21.
 
-    All instances lose power and start again. Each has heard of no other
-    yet, takes itself for the only one and uses the whole limit.
+    All instances lose power and restart. Each knows of no others yet and, if it
+    assumes that it is alone, uses the whole limit.
     """
     book = MemberBook(me=member('e1'))
-    unlisted = book.sharing(NOW)
-    assert share_of_e1(unlisted) == 0
+    sharing_before_listing = book.sharing(NOW)
+    assert cold_share_of_e1(sharing_before_listing) == 0
     for number in range(12):
         book.learn(member(f'e{number}'), NOW)
     book.listed = True
     assert len(book.sharing(NOW)) == 12
-    assert share_of_e1(book.sharing(NOW)) <= 2
+    assert cold_share_of_e1(book.sharing(NOW)) <= 2
 
 
-def test_an_instance_that_was_cut_off_still_counts_and_one_that_left_does_not() -> None:
+def test_a_partitioned_instance_shares_limits_but_one_that_left_does_not() -> None:
     book = MemberBook(me=member('e1'))
     book.listed = True
     book.hear(beat('e2'), NOW)
@@ -49,7 +49,7 @@
     assert tuple(book.sharing(NOW + 5)) == ('e1', 'e2')
 
 
-def test_only_instances_that_are_up_and_staying_serve() -> None:
+def test_only_instances_that_are_up_and_not_leaving_serve() -> None:
     book = MemberBook(me=member('e1'))
     book.hear(beat('e2'), NOW)
     book.hear(beat('e3', leaving=True), NOW)
@@ -57,14 +57,14 @@
     assert book.serving(NOW + 3) == []
 
 
-def test_a_beat_of_an_earlier_start_is_not_believed() -> None:
+def test_a_heartbeat_of_an_earlier_incarnation_is_ignored() -> None:
     book = MemberBook(me=member('e1'))
     book.hear(beat('e2', incarnation=2, leaving=False), NOW)
     book.hear(beat('e2', incarnation=1, leaving=True), NOW)
     assert [one.name for one in book.serving(NOW)] == ['e2']
 
 
-def test_callers_are_named_their_zone_then_their_region_then_all() -> None:
+def test_callers_are_given_instances_of_their_zone_then_region_then_all() -> None:
     def at(name: str, zone: str, region: str) -> FleetMember:
         return member(name, region=region)._replace(zone=zone)
 
@@ -75,12 +75,12 @@
     assert len(front_addresses(serving, region='istanbul', zone='x')) == 4
 
 
-def test_an_instance_restarted_behind_its_former_clock_is_heard_again() -> None:
-    """Symptom: an instance is up, and no look-up names it any more.
+def test_an_instance_restarted_with_its_clock_set_back_is_up_again() -> None:
+    """Guards against an instance that is up but missing from all look-ups.
 
-    Its clock is set back by some seconds, and it is killed and starts
-    again. Its incarnation, the time of its start, is smaller than the one
-    the others know, and its beats were refused as late ones.
+    Its clock is set back by some seconds, and it is killed and restarts. Its
+    incarnation, which is its start time, is then smaller than the one its peers
+    know, so they reject its heartbeats as late ones.
     """
     book = MemberBook(me=member('e1'))
     book.hear(beat('e2', incarnation=9), NOW)
@@ -90,8 +90,8 @@
     assert book.serving(NOW + 2.5)[0].incarnation == 6
 
 
-def test_instances_that_were_replaced_are_forgotten() -> None:
-    """Symptom: beats go to thousands of addresses that nobody has."""
+def test_replaced_instances_are_removed() -> None:
+    """Guards against heartbeats to thousands of addresses that are no longer used."""
     book = MemberBook(me=member('e1'))
     book.learn(member('e2'), NOW)
     book.hear(beat('e3'), NOW)
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -1,6 +1,6 @@
-"""The fleet tells two of each availability zone, and everybody knows of all.
+"""Tests that the fleet's views of its membership agree, by way of relays.
 
-Played on a model of the network in virtual time with the real decisions.
+Simulates the network in virtual time and runs the real decision code on it.
 """
 
 import random
@@ -25,16 +25,16 @@
 
 # What the users allow for an instance that is gone: its region's callers wait a
 # second for it, and no look-up may name it later than the second time.
-NEAR_FOUND_S = 3.5
-FOUND_S = 7.0
+SAME_REGION_DETECTION_S = 3.5
+DETECTION_S = 7.0
 SETTLED_S = 10.0
-# What an Ethernet frame carries of a datagram.
+# The UDP payload that fits one Ethernet frame.
 MAX_PACKET_BYTES = 1472
 
 
 @pytest.fixture
 def settled() -> Callable[[FleetShape], FleetModel]:
-    """Return a way to make a fleet whose instances all know each other."""
+    """Return a factory of fleets whose instances all know each other."""
 
     def make(shape: FleetShape) -> FleetModel:
         model = FleetModel(shape=shape)
@@ -49,7 +49,7 @@
 Settled = Callable[[FleetShape], FleetModel]
 
 
-def test_a_report_full_of_crashes_and_newcomers_fits_one_packet() -> None:
+def test_a_report_with_many_crashes_and_introductions_fits_one_packet() -> None:
     model = FleetModel(shape=LARGE)
     model.start_all()
     sizes = []
@@ -65,9 +65,9 @@
 
 
 def relays_of(model: FleetModel, zone: str) -> list[str]:
-    asked = next(one for name, one in model.instance_by_name.items() if name.startswith(zone))
-    members = asked.members.known.by_zone()[zone]
-    return [one.name for one in relays_in(members, asked.members, model.now)]
+    observer = next(one for name, one in model.instance_by_name.items() if name.startswith(zone))
+    members = observer.members.known.by_zone()[zone]
+    return [relay.name for relay in relays_in(members, observer.members, model.now)]
 
 
 def stop(model: FleetModel, *names: str) -> None:
@@ -75,8 +75,8 @@
         model.instance_by_name[name].runs = False
 
 
-def knowing(model: FleetModel, name: str) -> set[str]:
-    """Return who takes ``name`` for up, among the others that run."""
+def observers_of(model: FleetModel, name: str) -> set[str]:
+    """Return the other running instances that consider ``name`` up."""
     return {one for one in model.running() if one != name and name in model.up_at(one)}
 
 
@@ -86,8 +86,8 @@
 
 @pytest.mark.parametrize('listed', [True, False])
 @pytest.mark.parametrize('shape', [SMALL, MEDIUM, LARGE])
-def test_all_know_each_other_soon_after_a_start(shape: FleetShape, listed: bool) -> None:
-    """With the list of instances in the store, or by the seeds alone."""
+def test_views_agree_soon_after_a_start(shape: FleetShape, listed: bool) -> None:
+    """Instances find each other by the list in the store, or by the seeds alone."""
     model = FleetModel(shape=shape, listed=listed)
     model.start_all()
     model.run_for(SETTLED_S)
@@ -95,46 +95,48 @@
     assert model.disagreeing() == {}
 
 
-def read_and_crossing(model: FleetModel) -> tuple[float, float]:
-    """Return datagrams read and bytes sent between zones, a second and instance."""
+def read_rate_and_cross_zone_bytes(model: FleetModel) -> tuple[float, float]:
+    """Return datagrams read and bytes sent across zones, per second and instance."""
     before = {name: one.traffic for name, one in model.instance_by_name.items()}
     model.run_for(5)
     after = {name: one.traffic for name, one in model.instance_by_name.items()}
     read = sum(after[name].received - before[name].received for name in after)
-    crossing = sum(
+    cross_zone_bytes = sum(
         after[name].bytes_between_zones - before[name].bytes_between_zones for name in after
     )
-    return read / 5 / len(after), crossing / 5 / len(after)
+    return read / 5 / len(after), cross_zone_bytes / 5 / len(after)
 
 
 def test_a_small_fleet_reads_few_datagrams(settled: Settled) -> None:
-    assert read_and_crossing(settled(SMALL))[0] <= 20
+    assert read_rate_and_cross_zone_bytes(settled(SMALL))[0] <= 20
 
 
 @pytest.mark.parametrize('shape', [MEDIUM, LARGE, LARGER])
-def test_what_an_instance_reads_and_sends_stays_level(settled: Settled, shape: FleetShape) -> None:
-    """Symptom: a day with 195 instances takes more processor time than it may.
+def test_traffic_per_instance_does_not_grow_with_the_fleet(
+    settled: Settled, shape: FleetShape
+) -> None:
+    """Guards against too much processor time in a fleet of 195 instances.
 
-    Everybody told everybody: each instance read 260 datagrams a second.
+    When each instance reports to all others, each reads 260 datagrams a second.
     """
-    read, crossing = read_and_crossing(settled(shape))
+    read, cross_zone_bytes = read_rate_and_cross_zone_bytes(settled(shape))
     assert read <= 20
-    assert crossing <= 1000
-    assert read <= 1.2 * read_and_crossing(settled(MEDIUM))[0]
+    assert cross_zone_bytes <= 1000
+    assert read <= 1.2 * read_rate_and_cross_zone_bytes(settled(MEDIUM))[0]
 
 
 @pytest.mark.parametrize('shape', [SMALL, MEDIUM, LARGE])
-def test_a_killed_instance_is_found_by_all(settled: Settled, shape: FleetShape) -> None:
+def test_all_detect_a_killed_instance(settled: Settled, shape: FleetShape) -> None:
     model = settled(shape)
     gone = 'r1-z0-1'
     stop(model, gone)
-    model.run_for(NEAR_FOUND_S)
-    assert not knowing(model, gone) & in_region(model, 'r1')
-    model.run_for(FOUND_S - NEAR_FOUND_S)
-    assert knowing(model, gone) == set()
+    model.run_for(SAME_REGION_DETECTION_S)
+    assert not observers_of(model, gone) & in_region(model, 'r1')
+    model.run_for(DETECTION_S - SAME_REGION_DETECTION_S)
+    assert observers_of(model, gone) == set()
 
 
-def test_no_instance_that_runs_is_taken_for_down_though_datagrams_are_lost(
+def test_running_instances_stay_up_under_datagram_loss(
     settled: Settled,
 ) -> None:
     model = settled(MEDIUM._replace(loss=0.05, seed=3))
@@ -143,11 +145,11 @@
         assert model.disagreeing() == {}
 
 
-def test_the_relays_of_a_zone_are_lost_at_once(settled: Settled) -> None:
-    """Symptom: for seconds, callers of a zone are all led to one instance.
+def test_both_relays_of_a_zone_are_lost_at_once(settled: Settled) -> None:
+    """Guards against sending all callers of a zone to one instance for seconds.
 
-    Both relays are killed at once. Whoever waits until they are down, and
-    then for the next ones to answer, knows of nobody else meanwhile.
+    Both relays are killed at once. An instance that reports to the next ones only
+    after the relays count as down knows of no others until these answer.
     """
     model = settled(MEDIUM)
     lost = relays_of(model, 'r0-z0')
@@ -158,26 +160,26 @@
         for name in left:
             assert set(left) <= model.up_at(name)
     assert model.disagreeing(left) == {}
-    model.run_for(FOUND_S - 6)
+    model.run_for(DETECTION_S - 6)
     assert model.disagreeing() == {}
 
 
-def test_a_zone_that_was_cut_off_is_found_again(settled: Settled) -> None:
+def test_a_partitioned_zone_rejoins(settled: Settled) -> None:
     model = settled(MEDIUM)
     model.passes = lambda one, other: (one.zone == 'r1-z1') == (other.zone == 'r1-z1')
-    model.run_for(FOUND_S)
+    model.run_for(DETECTION_S)
     outside = [name for name in model.running() if not name.startswith('r1-z1')]
     assert all(not name.startswith('r1-z1') for one in outside for name in model.up_at(one))
     model.passes = lambda one, other: True
-    model.run_for(FOUND_S)
+    model.run_for(DETECTION_S)
     assert model.disagreeing() == {}
 
 
-def test_the_halves_of_a_zone_find_each_other_again(settled: Settled) -> None:
-    """Symptom: after a cut inside a zone, half of its instances get no callers.
+def test_the_halves_of_a_partitioned_zone_merge_again(settled: Settled) -> None:
+    """Guards against half of a zone getting no callers after a partition inside it.
 
-    Each half has relays of its own, which know nothing of the other half's
-    members; found by nobody, they stay apart after the cut.
+    Each half has its own relays, which know nothing of the other half. Unless they
+    probe for the other half's members, the halves stay separate.
     """
     model = settled(FleetShape(regions=1, zones=1, instances=12))
 
@@ -185,34 +187,36 @@
         return int(member.name.rpartition('-')[2]) % 2 == 1
 
     model.passes = lambda one, other: is_odd(one) == is_odd(other)
-    model.run_for(FOUND_S)
+    model.run_for(DETECTION_S)
     assert len(model.up_at('r0-z0-1')) == 6
     model.passes = lambda one, other: True
     model.run_for(SETTLED_S)
     assert model.disagreeing() == {}
 
 
-def test_an_instance_that_is_not_heard_is_named_to_nobody(settled: Settled) -> None:
-    """Datagrams to it pass, those from it do not."""
+def test_an_instance_that_cannot_send_counts_as_down(settled: Settled) -> None:
+    """Datagrams to it are delivered, those from it are not."""
     model = settled(MEDIUM)
-    mute = 'r2-z1-4'
-    model.passes = lambda one, other: one.name != mute
-    model.run_for(FOUND_S)
-    assert knowing(model, mute) == set()
+    muted = 'r2-z1-4'
+    model.passes = lambda one, other: one.name != muted
+    model.run_for(DETECTION_S)
+    assert observers_of(model, muted) == set()
 
 
-def test_zones_that_cannot_reach_each_other_are_known_to_those_between(
+def test_zones_that_cannot_reach_each_other_are_up_for_all_others(
     settled: Settled,
 ) -> None:
     model = settled(MEDIUM)
-    apart = {'r0-z0', 'r0-z1'}
-    model.passes = lambda one, other: one.zone == other.zone or {one.zone, other.zone} != apart
-    model.run_for(FOUND_S)
+    disconnected = {'r0-z0', 'r0-z1'}
+    model.passes = lambda one, other: (
+        one.zone == other.zone or {one.zone, other.zone} != disconnected
+    )
+    model.run_for(DETECTION_S)
     between = [name for name in model.running() if not name.startswith('r0')]
     assert model.disagreeing(between) == {}
 
 
-def test_all_start_again_at_once(settled: Settled) -> None:
+def test_all_restart_at_once(settled: Settled) -> None:
     model = settled(MEDIUM)
     names = model.running()
     stop(model, *names)
@@ -225,23 +229,25 @@
         assert {member.incarnation for member in one.members.up(model.now)} == {2}
 
 
-def test_an_instance_that_was_stopped_for_seconds_is_known_again(settled: Settled) -> None:
+def test_an_instance_paused_for_seconds_is_up_again(settled: Settled) -> None:
     model = settled(MEDIUM)
-    frozen = relays_of(model, 'r1-z0')[0]
-    stop(model, frozen)
-    model.run_for(FOUND_S)
-    assert knowing(model, frozen) == set()
-    model.wake(frozen)
-    model.run_for(FOUND_S)
+    paused = relays_of(model, 'r1-z0')[0]
+    stop(model, paused)
+    model.run_for(DETECTION_S)
+    assert observers_of(model, paused) == set()
+    model.wake(paused)
+    model.run_for(DETECTION_S)
     assert model.disagreeing() == {}
 
 
 @pytest.mark.parametrize('shape', [SMALL, MEDIUM, LARGE])
-def test_all_hear_in_time_that_an_instance_leaves(settled: Settled, shape: FleetShape) -> None:
-    """Symptom: callers are sent to an instance that is about to end.
+def test_a_leaving_instance_is_removed_from_look_ups_in_time(
+    settled: Settled, shape: FleetShape
+) -> None:
+    """Guards against sending callers to an instance that is about to end.
 
-    A leaving instance goes on serving for a few seconds; look-ups are to stop
-    naming it long before.
+    A leaving instance serves for a few more seconds, and look-ups must stop
+    naming it well before it ends.
     """
     model = settled(shape)
     for number, name in enumerate(('r0-z0-0', relays_of(model, 'r1-z1')[0])):
@@ -259,24 +265,24 @@
 
 @pytest.mark.parametrize('seed', range(6))
 def test_views_agree_again_after_a_series_of_faults(seed: int) -> None:
-    """Kills, stops, restarts and cuts in a drawn order, overlapping."""
+    """Overlapping kills, pauses, restarts and partitions in a random order."""
     chance = random.Random(seed)
     model = FleetModel(shape=FleetShape(instances=5, loss=0.03, seed=seed))
     model.start_all()
     model.run_for(5)
     names = sorted(model.instance_by_name)
     for _ in range(30):
-        hit = chance.sample(names, chance.choice((1, 1, 2, 8)))
+        targets = chance.sample(names, chance.choice((1, 1, 2, 8)))
         fault = chance.choice(('stop', 'start', 'wake', 'cut', 'heal'))
         if fault == 'stop':
-            stop(model, *hit)
+            stop(model, *targets)
         elif fault == 'cut':
-            cut = set(hit)
+            cut = set(targets)
             model.passes = lambda one, other, cut=cut: (one.name in cut) == (other.name in cut)
         elif fault == 'heal':
             model.passes = lambda one, other: True
         else:
-            for name in hit:
+            for name in targets:
                 if fault == 'start':
                     model.start(name)
                 elif not model.instance_by_name[name].runs:
@@ -309,14 +315,14 @@
         datagram('e2') + b'\x00',
     ],
 )
-def test_a_datagram_that_is_not_understood_changes_nothing(packed: bytes) -> None:
+def test_a_malformed_datagram_is_ignored(packed: bytes) -> None:
     book = MemberBook(me=member('e1'))
     intake = Intake(members=book, crashes=CrashBook())
     assert intake.take(packed, 'e2', 1.0) is None
     assert book.everyone() == []
 
 
-def test_a_datagram_under_the_name_of_another_changes_nothing() -> None:
+def test_a_datagram_with_a_forged_sender_is_ignored() -> None:
     book = MemberBook(me=member('e1'))
     intake = Intake(members=book, crashes=CrashBook())
     intake.take(datagram('e2', leaving=True), 'stranger', 1.0)
@@ -326,7 +332,7 @@
     assert [one.name for one in book.serving(1.2)] == ['e2']
 
 
-def test_a_datagram_that_comes_again_is_no_sign_of_life() -> None:
+def test_a_duplicate_datagram_does_not_prolong_liveness() -> None:
     book = MemberBook(me=member('e1'))
     intake = Intake(members=book, crashes=CrashBook())
     packed = datagram('e2', number=5)
