--- a/packages/node/src/plantainloft_node/replica/rows.py
+++ b/packages/node/src/plantainloft_node/replica/rows.py
@@ -1,4 +1,4 @@
-"""The rows themselves: newest version of each, deletions included."""
+"""The replicated rows: the newest version of each, with tombstones."""
 
 from collections.abc import Iterable
 
@@ -9,31 +9,32 @@
 __all__ = ['RowCopy']
 
 
-# Deletions kept, over all tables, so that a peer that missed some can be
-# told just these. At 370 replaced endpoints a day they last two weeks, and
+# Tombstones kept over all tables, so that a peer that missed some deletions can
+# be sent just these. At 370 replaced endpoints a day they cover two weeks and
 # take about 2 MB.
-MAX_DELETIONS = 5000
+MAX_TOMBSTONES = 5000
 
 
 class RowCopy:
-    """A copy of the followed tables; older versions never replace newer.
+    """A replica of the followed tables; older versions never replace newer.
 
-    Deletions are kept as rows without content. The oldest are dropped
-    beyond a bound, and a peer that lacks one of those gets whole tables.
+    Deletions are kept as tombstones, rows without content. Beyond
+    ``MAX_TOMBSTONES`` the oldest are pruned, and a peer that may lack a pruned one
+    is sent whole tables.
     """
 
     def __init__(self) -> None:
         self.row_by_key: dict[tuple[str, str], NewsRow] = {}
         self.newest_by_table: dict[str, int] = {}
         self._changed = anyio.Event()
-        # Keys of deletions, oldest first.
-        self._deletions: dict[tuple[str, str], None] = {}
-        self._dropped_to_by_table: dict[str, int] = {}
+        # Keys of tombstones, oldest first.
+        self._tombstones: dict[tuple[str, str], None] = {}
+        self._pruned_version_by_table: dict[str, int] = {}
 
     def merge(self, rows: Iterable[NewsRow]) -> list[NewsRow]:
-        """Take ``rows``; return those that were news, in version order."""
+        """Merge ``rows``; return those that were new, in version order."""
         fresh = []
-        for row in sorted(rows, key=lambda one: one.version):
+        for row in sorted(rows, key=lambda row: row.version):
             known = self.row_by_key.get((row.table, row.key))
             if known is not None and known.version >= row.version:
                 continue
@@ -41,21 +42,20 @@
             newest = self.newest_by_table.get(row.table, 0)
             self.newest_by_table[row.table] = max(newest, row.version)
             fresh.append(row)
-        self._drop_deletions()
+        self._prune_tombstones()
         if fresh:
             self._changed.set()
         return fresh
 
     async def change(self) -> None:
-        """Wait until rows that are news are taken."""
+        """Wait until new rows are merged."""
         await self._changed.wait()
         self._changed = anyio.Event()
 
     def merge_listing(self, table: str, listing: News) -> list[NewsRow]:
-        """Take a whole table; what it lacks was removed meanwhile.
+        """Merge a whole table; rows missing from it count as removed.
 
-        A listing older than what is known here (a stale read) removes
-        nothing that was written after it.
+        A stale listing does not remove rows that were written after it.
         """
         listed = {row.key for row in listing.rows}
         missing = [
@@ -69,18 +69,18 @@
         return self.merge([*listing.rows, *missing])
 
     def cut_off(self, newest_by_table: dict[str, int]) -> list[str]:
-        """Return the tables in which a peer may lack dropped deletions.
+        """Return the tables in which a peer may lack pruned tombstones.
 
-        ``newest_by_table`` are the newest versions that the peer knows.
+        ``newest_by_table`` has the newest version that the peer knows of each table.
         """
         return [
             table
-            for table, dropped_to in self._dropped_to_by_table.items()
-            if newest_by_table.get(table, 0) < dropped_to
+            for table, pruned_version in self._pruned_version_by_table.items()
+            if newest_by_table.get(table, 0) < pruned_version
         ]
 
     def since(self, newest_by_table: dict[str, int]) -> list[NewsRow]:
-        """Return the rows newer than ``newest_by_table`` says."""
+        """Return the rows that are newer than the versions in ``newest_by_table``."""
         return [
             row
             for row in self.row_by_key.values()
@@ -90,14 +90,14 @@
     def _put(self, row: NewsRow) -> None:
         key = (row.table, row.key)
         self.row_by_key[key] = row
-        self._deletions.pop(key, None)
+        self._tombstones.pop(key, None)
         if row.content is None:
-            self._deletions[key] = None
-
-    def _drop_deletions(self) -> None:
-        while len(self._deletions) > MAX_DELETIONS:
-            key = next(iter(self._deletions))
-            self._deletions.pop(key)
-            dropped = self.row_by_key.pop(key)
-            known = self._dropped_to_by_table.get(dropped.table, 0)
-            self._dropped_to_by_table[dropped.table] = max(known, dropped.version)
+            self._tombstones[key] = None
+
+    def _prune_tombstones(self) -> None:
+        while len(self._tombstones) > MAX_TOMBSTONES:
+            key = next(iter(self._tombstones))
+            self._tombstones.pop(key)
+            pruned = self.row_by_key.pop(key)
+            known = self._pruned_version_by_table.get(pruned.table, 0)
+            self._pruned_version_by_table[pruned.table] = max(known, pruned.version)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""The copy of the rows, and what is believed of them."""
+"""Tests of the replicated rows and of the state derived from them."""
 
 import pytest
 from entry_fixtures import SERVICE
@@ -68,38 +68,38 @@
     assert rows.row_by_key[(ENDPOINTS, 'i1')].content is None
 
 
-def test_what_a_listing_lacks_was_removed() -> None:
+def test_rows_missing_from_a_listing_are_removed() -> None:
     rows = RowCopy()
     rows.merge([row('i1', 1), row('i2', 2)])
     fresh = rows.merge_listing(ENDPOINTS, News(rows=(row('i2', 2),), version=9))
     assert [(one.key, one.content) for one in fresh] == [('i1', None)]
 
 
-def test_a_stale_listing_removes_nothing_newer() -> None:
-    """Symptom: endpoints vanish after the store lost its history.
+def test_a_stale_listing_does_not_remove_newer_rows() -> None:
+    """Guards against endpoints that vanish after the store lost its history.
 
-    The listing that follows is read from a copy that lags behind; rows
-    that came by the feed meanwhile are not in it yet.
+    The listing that follows comes from a lagging copy of the store and lacks
+    rows that were received as changes in the meantime.
     """
     rows = RowCopy()
     rows.merge([row('i1', 1), row('i2', 8)])
     assert not rows.merge_listing(ENDPOINTS, News(rows=(row('i1', 1),), version=5))
 
 
-def test_peers_are_told_what_they_lack_deletions_too() -> None:
+def test_peers_are_sent_missing_rows_and_tombstones() -> None:
     rows = RowCopy()
     rows.merge([row('i1', 1), row('i2', 2), row('i1', 3, None)])
     assert [one.key for one in rows.since({ENDPOINTS: 2})] == ['i1']
     assert len(rows.since({})) == 2
 
 
-def test_an_endpoint_whose_row_lapsed_in_an_outage_is_used_on(
+def test_an_endpoint_whose_row_expired_in_an_outage_stays_in_use(
     beliefs: Beliefs, book: EndpointBook
 ) -> None:
-    """Symptom: no endpoint left after an outage of the store.
+    """Guards against losing all endpoints after an outage of the store.
 
-    Endpoints could not renew their rows while it was away. The rows lapse
-    though the endpoints live, and are back about two seconds later.
+    Endpoints cannot renew their rows during the outage. The rows expire although
+    the endpoints are running, and are back about two seconds after it.
     """
     beliefs.take([row('i1', 1), row('i2', 2)], NOW, source='store')
     beliefs.store.note_failed(due_at=NOW)
@@ -117,14 +117,12 @@
     assert not book.by_id
 
 
-def test_an_unreadable_row_takes_the_place_of_a_good_one(
-    beliefs: Beliefs, book: EndpointBook
-) -> None:
-    """Symptom: an endpoint is used on though its row no longer names it.
+def test_an_unreadable_row_replaces_a_valid_one(beliefs: Beliefs, book: EndpointBook) -> None:
+    """Guards against using an endpoint whose row no longer describes it.
 
-    Another writer replaced the row by one without format. It was left out
-    as not understood, and what the good one had said stayed in force; also
-    while the store was in trouble, when rows lapse by themselves.
+    Another writer overwrites the row with undecodable content. If such a row is
+    ignored, the last valid one stays in force. This also applies during a store
+    outage, when rows expire on their own.
     """
     beliefs.take([row('i1', 1), row('i2', 2), row('i3', 3)], NOW, source='store')
     beliefs.store.note_failed(due_at=NOW)
@@ -134,13 +132,13 @@
     assert set(book.by_id) == {'i1', 'i2', 'i3'}
 
 
-def test_an_endpoint_that_starts_again_under_its_id_is_known_for_nothing(
+def test_a_restarted_endpoint_does_not_inherit_the_state_of_its_id(
     beliefs: Beliefs, book: EndpointBook
 ) -> None:
-    """Symptom: an endpoint that has just started gets its full share, and crashes.
+    """Guards against a cold endpoint that gets its full share and crashes.
 
-    It was taken for the one before, warm, by turns ejected or slow, and with
-    connections that had ended with it.
+    If it inherits the state of its predecessor, it counts as warm, at times as
+    ejected or slow, and with requests in flight that ended with the predecessor.
     """
     beliefs.take([row('i1', 1, b'born 1000')], NOW, source='store')
     before = book.by_id['i1']
@@ -155,15 +153,15 @@
     assert after.in_flight == 0 and not after.is_slow(NOW + 62)
 
 
-def test_a_configuration_never_goes_back(beliefs: Beliefs) -> None:
+def test_a_configuration_is_never_replaced_by_an_older_one(beliefs: Beliefs) -> None:
     news = [NewsRow(DECLARATIONS, 'config', number, b'%d' % number) for number in (2, 1)]
     beliefs.take(news, NOW, source='store')
     assert beliefs.table.version == 2
 
 
-def test_deletions_do_not_grow_without_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Symptom: an instance's memory grows with every endpoint that ever left."""
-    monkeypatch.setattr('plantainloft_node.replica.rows.MAX_DELETIONS', 10)
+def test_the_number_of_tombstones_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against memory use that grows with every endpoint that ever left."""
+    monkeypatch.setattr('plantainloft_node.replica.rows.MAX_TOMBSTONES', 10)
     rows = RowCopy()
     for number in range(100):
         rows.merge([row(f'i{number}', 2 * number + 1)])
@@ -171,15 +169,15 @@
     assert len(rows.row_by_key) == 10
 
 
-def test_a_peer_behind_the_dropped_deletions_is_told_whole_tables(
+def test_a_peer_that_missed_pruned_tombstones_is_sent_whole_tables(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: an endpoint that is gone gets requests from one instance.
+    """Guards against an instance that sends requests to a removed endpoint.
 
-    The instance was cut off while many endpoints left, and then asks a
-    peer that no longer keeps the oldest of those deletions.
+    The instance was partitioned while many endpoints left, and then asks a peer
+    that has already pruned the oldest of those tombstones.
     """
-    monkeypatch.setattr('plantainloft_node.replica.rows.MAX_DELETIONS', 2)
+    monkeypatch.setattr('plantainloft_node.replica.rows.MAX_TOMBSTONES', 2)
     behind, ahead = RowCopy(), RowCopy()
     for copy in (behind, ahead):
         copy.merge([row('gone', 1), row('stays', 2)])
