--- a/packages/node/src/plantainloft_node/replica/beliefs.py
+++ b/packages/node/src/plantainloft_node/replica/beliefs.py
@@ -1,4 +1,4 @@
-"""What this instance believes, kept up to date from rows."""
+"""The state derived from replicated rows: routes, endpoints and evacuations."""
 
 import logging
 import math
@@ -37,19 +37,20 @@
         self._book = book
         self._decode = decode
         self._evacuated: frozenset[str] = frozenset()
-        # Endpoints used on though their rows went, and until when at most.
-        self._doubted_until_by_id: dict[str, float] = {}
+        # Endpoints kept in use after their rows were removed, each with the end of
+        # its grace period.
+        self._grace_until_by_id: dict[str, float] = {}
         self.store = StoreWatch()
         self.table: RouteTable = NO_ROUTES
         self.table_since = 0.0
 
     def take(self, rows: Iterable[NewsRow], now: float, *, source: str) -> None:
-        """Take rows that are news."""
+        """Apply new rows; ``source`` is where they came from, for the log."""
         for row in rows:
             change = self._decode(row)
             if isinstance(change, Invalid):
                 log.error(
-                    'Replica: row %s is not understood and left out.',
+                    'Replica: ignored invalid row %s.',
                     row.key,
                     extra={'kind': 'bad_row', 'fields': {'problems': change.problems}},
                 )
@@ -57,14 +58,14 @@
                 self._apply(change, row, now, source)
 
     def tick(self, now: float) -> None:
-        """Drop the endpoints whose rows did not lapse, or have not come back."""
+        """Drop endpoints in grace whose rows have not come back or cannot have expired."""
         lapses = self.store.may_have_lapsed(now)
-        for endpoint_id, until in list(self._doubted_until_by_id.items()):
+        for endpoint_id, until in list(self._grace_until_by_id.items()):
             if now >= until or not lapses:
-                self._doubted_until_by_id.pop(endpoint_id)
+                self._grace_until_by_id.pop(endpoint_id)
                 self._book.drop(endpoint_id)
                 log.info(
-                    'Replica: endpoint %s dropped, its row is not back.',
+                    'Replica: dropped endpoint %s, its row has not come back.',
                     endpoint_id,
                     extra={'kind': 'dropped', 'fields': {'row': endpoint_id}},
                 )
@@ -74,24 +75,25 @@
         if isinstance(change, RoutesDeclared):
             if change.table.version < self.table.version:
                 return
-            self._declare(change.table, now)
+            self._apply_routes(change.table, now)
             fields['version'] = change.table.version
         elif isinstance(change, ZoneEvacuation):
-            self._evacuate(change, now)
+            self._apply_evacuation(change, now)
             fields['evacuated'] = change.evacuated
         elif isinstance(change, EndpointListed):
-            self._doubted_until_by_id.pop(change.record.id, None)
+            self._grace_until_by_id.pop(change.record.id, None)
             self._book.put(change.record, now)
             fields['draining'] = change.record.draining
             fields['cold_s'] = change.record.cold_s
             fields['born_ms'] = change.record.born_ms
         elif isinstance(change, EndpointUnreadable):
-            # No lapse of a row while the store is in trouble: somebody wrote.
-            self._doubted_until_by_id.pop(change.endpoint_id, None)
+            # The row was overwritten. It did not expire during a store outage, so
+            # there is no grace period.
+            self._grace_until_by_id.pop(change.endpoint_id, None)
             self._book.drop(change.endpoint_id)
             fields['problem'] = change.problem
         else:
-            fields['used_on_s'] = self._forget(change.endpoint_id, now)
+            fields['used_on_s'] = self._handle_removal(change.endpoint_id, now)
             fields['store_served_s'] = _rounded(self.store.served_s(now))
         log.info(
             'Replica: %s.',
@@ -99,13 +101,13 @@
             extra={'kind': 'belief', 'fields': fields},
         )
 
-    def _declare(self, table: RouteTable, now: float) -> None:
+    def _apply_routes(self, table: RouteTable, now: float) -> None:
         self.table = table
         self.table_since = now
         for service, longest_s in longest_wait_by_service(table).items():
             self._book.pace_of(service).longest_wait_s = longest_s
 
-    def _evacuate(self, change: ZoneEvacuation, now: float) -> None:
+    def _apply_evacuation(self, change: ZoneEvacuation, now: float) -> None:
         changed = frozenset((change.zone,))
         zones = self._evacuated | changed if change.evacuated else self._evacuated - changed
         self._evacuated = zones
@@ -113,20 +115,23 @@
         warmup_s = max(warmups, default=DEFAULT_WARMUP_S)
         self._book.set_evacuated(zones, warmup_s=warmup_s, now=now)
 
-    def _forget(self, endpoint_id: str, now: float) -> float:
-        """Return for how many seconds the endpoint is used on at most."""
+    def _handle_removal(self, endpoint_id: str, now: float) -> float:
+        """Handle a removed row; return the endpoint's grace period in seconds.
+
+        The grace period is 0 if the endpoint is dropped at once.
+        """
         state = self._book.by_id.get(endpoint_id)
-        may_live = state is not None and not state.record.draining
-        if may_live and self.store.may_have_lapsed(now):
-            self._doubted_until_by_id[endpoint_id] = now + LAPSE_GRACE_S
+        may_be_alive = state is not None and not state.record.draining
+        if may_be_alive and self.store.may_have_lapsed(now):
+            self._grace_until_by_id[endpoint_id] = now + LAPSE_GRACE_S
             if self.store.served_s(now) is None:
-                self.store.note_doubt()
+                self.store.request_peer_check()
             return LAPSE_GRACE_S
-        self._doubted_until_by_id.pop(endpoint_id, None)
+        self._grace_until_by_id.pop(endpoint_id, None)
         self._book.drop(endpoint_id)
         return 0.0
 
 
 def _rounded(seconds: float | None) -> float | None:
-    """Return a number that JSON has; infinity is none."""
+    """Round to milliseconds; returns ``None`` for infinity, which JSON lacks."""
     return None if seconds is None or math.isinf(seconds) else round(seconds, 3)
--- a/packages/node/src/plantainloft_node/replica/store_watch.py
+++ b/packages/node/src/plantainloft_node/replica/store_watch.py
@@ -1,10 +1,10 @@
-"""Whether the store may just have been away, told from its answers.
+"""Detects from its answers whether the store has recently been unavailable.
 
-Rows of endpoints lapse while the store is away, though the endpoints live;
-they are back about two seconds after its return. A row that goes at any other
-time says that its endpoint left. What counts is when the store came back, not
-when this instance noticed: one that notices late would use an endpoint that
-left for too long, counted from its removal.
+While the store is unavailable, the rows of running endpoints expire; they are
+back about two seconds after it recovers. A row that is removed at any other time
+means that its endpoint left. The grace period counts from the recovery of the
+store, not from when this instance noticed it: an instance that notices late would
+otherwise use an endpoint that left for too long after its removal.
 """
 
 import math
@@ -15,124 +15,125 @@
 
 __all__ = ['LAPSE_GRACE_S', 'StoreWatch']
 
-# Lapsed rows are back about 2 s after the store's return (the platform's
-# pages); one that is still missing after this time is gone.
+# According to the platform's documentation, expired rows are back about 2 s after
+# the store recovers. An endpoint whose row is still missing then is gone.
 LAPSE_GRACE_S = 2.3
-# A failed poll is noticed 5.2 s after it was sent; in that time two followers
-# and a few probes are answered.
-KEPT_ANSWERS = 32
-# Those who follow the store for others speak twice a second.
-TOLD_HOLDS_S = 1.8
+# A failed poll is noticed 5.2 s after it was sent. In that time two followers
+# and a few probes get answers.
+MAX_ANSWER_TIMES = 32
+# Instances that poll the store for others report twice a second.
+PEER_REPORT_TIMEOUT_S = 1.8
 
 
-class _Told(NamedTuple):
-    """For how long the store had served at ``at``, as another said."""
+class _PeerUptime(NamedTuple):
+    """How long the store had been available at ``at``, as reported by a peer."""
 
     served_s: float | None
     at: float
 
-    def served_s_at(self, now: float) -> float | None:
-        """Return for how long the store has served at ``now``, as far as told.
+    def uptime_s_at(self, now: float) -> float | None:
+        """Extrapolate to ``now`` how long the store has been available.
 
-        One who falls silent may have been the last to know of an outage; the
-        rows that lapsed in it may come back as long as after any other.
+        A peer that reported an outage and then fell silent may have been the only
+        one to know of it. Its report still expires after ``PEER_REPORT_TIMEOUT_S``,
+        and the grace period for rows that expired in the outage counts from it.
         """
         passed_s = now - self.at
         if self.served_s is not None:
             return self.served_s + passed_s
-        return passed_s if passed_s >= TOLD_HOLDS_S else None
+        return passed_s if passed_s >= PEER_REPORT_TIMEOUT_S else None
 
 
 class StoreWatch:
-    """When the store was away, and since when it is back."""
+    """Tracks outages of the store and when it recovered from the last one."""
 
     def __init__(self) -> None:
-        # When the store last owed an answer that did not come.
-        self._away_at: float | None = None
-        # The first moment after it at which the store is known to serve.
-        self._back_at: float | None = None
-        self._served_at: deque[float] = deque(maxlen=KEPT_ANSWERS)
-        self._failed = anyio.Event()
-        self._told_by_name: dict[str, _Told] = {}
+        # When the last answer that did not come was due.
+        self._outage_at: float | None = None
+        # The earliest time after that at which the store is known to have answered.
+        self._recovered_at: float | None = None
+        self._answered_at: deque[float] = deque(maxlen=MAX_ANSWER_TIMES)
+        self._peer_check_requested = anyio.Event()
+        self._uptime_by_peer: dict[str, _PeerUptime] = {}
 
     def note_answered(self, *, sent_at: float, now: float) -> None:
-        """Take an answer: the store served when the call came, and now.
+        """Record an answer: the store was available at ``sent_at`` and at ``now``.
 
-        A poll that was held from the one to the other shows nothing of the time
-        between: a silent store keeps the polls that it has.
+        A long poll proves nothing about the time between the two: an unresponsive
+        store keeps the pending polls open.
         """
         for at in (sent_at, now):
-            self._served_at.append(at)
-            if self._away_at is not None and at > self._away_at:
-                self._back_at = _earlier(self._back_at, at)
+            self._answered_at.append(at)
+            if self._outage_at is not None and at > self._outage_at:
+                self._recovered_at = _earliest(self._recovered_at, at)
 
     def note_failed(self, *, due_at: float) -> None:
-        """Take a call without an answer; ``due_at``: when it was owed.
+        """Record a call without an answer; ``due_at`` is when the answer was due.
 
-        A poll that a silent store swallowed is given up a second after it was
-        due, and the store may have been back meanwhile.
+        A poll that an unresponsive store dropped times out a second after it was
+        due, and the store may have recovered in between.
         """
-        self._failed.set()
-        if self._away_at is not None and due_at <= self._away_at:
+        self._peer_check_requested.set()
+        if self._outage_at is not None and due_at <= self._outage_at:
             return
-        self._away_at = due_at
-        self._back_at = min((at for at in self._served_at if at > due_at), default=None)
+        self._outage_at = due_at
+        self._recovered_at = min((at for at in self._answered_at if at > due_at), default=None)
 
     def note_served_elsewhere(self, *, since: float, asked_at: float) -> None:
-        """Take a peer's word that the store has served it from ``since`` on.
+        """Record a peer's report that the store has been available to it since ``since``.
 
-        ``asked_at``: until when that holds; a later failure is not explained.
+        The report covers the time up to ``asked_at``; failures after that stand.
         """
-        for name, told in self._told_by_name.items():
-            if told.at <= asked_at:
-                self._told_by_name[name] = _Told(0.0, since)
-        if self._away_at is not None and self._away_at <= asked_at:
-            self._back_at = _earlier(self._back_at, since)
+        for name, reported in self._uptime_by_peer.items():
+            if reported.at <= asked_at:
+                self._uptime_by_peer[name] = _PeerUptime(0.0, since)
+        if self._outage_at is not None and self._outage_at <= asked_at:
+            self._recovered_at = _earliest(self._recovered_at, since)
 
     def note_told(self, name: str, served_s: float | None, now: float) -> None:
-        """Take the word of ``name``, which follows the store for this instance.
+        """Record the report of ``name``, which polls the store for this instance.
 
-        ``served_s`` is what ``served_s`` returns there. The instance that rests
-        makes no calls that could fail; without this, it would take rows that
-        lapsed in an outage for those of endpoints that left.
+        ``served_s`` is the result of ``served_s`` at that peer. An instance at rest
+        makes no calls that could fail. Without these reports, it would treat rows
+        that expired in an outage as those of endpoints that left.
         """
-        self._told_by_name[name] = _Told(served_s, now)
+        self._uptime_by_peer[name] = _PeerUptime(served_s, now)
 
-    def note_doubt(self) -> None:
-        """Have peers asked: rows went while those who follow are out of touch."""
-        self._failed.set()
+    def request_peer_check(self) -> None:
+        """Request that peers be asked: rows were removed while the pollers lost the store."""
+        self._peer_check_requested.set()
 
     async def failure(self) -> None:
-        """Wait until a call fails, or rows are in doubt."""
-        await self._failed.wait()
-        self._failed = anyio.Event()
+        """Wait until a call fails or ``request_peer_check`` is called."""
+        await self._peer_check_requested.wait()
+        self._peer_check_requested = anyio.Event()
 
     @property
     def is_failing(self) -> bool:
-        """Whether no call of this instance was answered since one failed."""
-        away_at = self._away_at
-        return away_at is not None and all(at <= away_at for at in self._served_at)
+        """Whether no call of this instance was answered since the last failure."""
+        outage_at = self._outage_at
+        return outage_at is not None and all(at <= outage_at for at in self._answered_at)
 
     def may_have_lapsed(self, now: float) -> bool:
-        """Return whether a row that is missing now may have lapsed by itself."""
+        """Return whether a row removed now may have expired because of an outage."""
         served_s = self.served_s(now)
         return served_s is None or served_s < LAPSE_GRACE_S
 
     def served_s(self, now: float) -> float | None:
-        """Return for how long the store has served; ``None`` while it does not.
+        """Return how long the store has been available; ``None`` while it is not.
 
-        Infinite if no call ever failed.
+        Infinite if no call has ever failed.
         """
-        told = (one.served_s_at(now) for one in self._told_by_name.values())
-        served = [self._own_served_s(now), *told]
+        reported = (uptime.uptime_s_at(now) for uptime in self._uptime_by_peer.values())
+        served = [self._own_uptime_s(now), *reported]
         known = [served_s for served_s in served if served_s is not None]
         return min(known) if len(known) == len(served) else None
 
-    def _own_served_s(self, now: float) -> float | None:
-        if self._away_at is None:
+    def _own_uptime_s(self, now: float) -> float | None:
+        if self._outage_at is None:
             return math.inf
-        return None if self._back_at is None else now - self._back_at
+        return None if self._recovered_at is None else now - self._recovered_at
 
 
-def _earlier(known: float | None, at: float) -> float:
+def _earliest(known: float | None, at: float) -> float:
     return at if known is None else min(known, at)
