--- a/packages/node/src/plantainloft_node/replica/__init__.py
+++ b/packages/node/src/plantainloft_node/replica/__init__.py
@@ -1,1 +1,1 @@
-"""This instance's copy of the platform's news: declarations and endpoints."""
+"""This instance's replica of the platform's tables: declarations and endpoints."""
--- a/packages/node/src/plantainloft_node/replica/follower.py
+++ b/packages/node/src/plantainloft_node/replica/follower.py
@@ -1,4 +1,4 @@
-"""Follow one table of the store by long polls."""
+"""Follows one table of the store by long polling."""
 
 import logging
 import random
@@ -17,12 +17,12 @@
 
 BACKOFF_MIN_S = 0.2
 BACKOFF_MAX_S = 1.0
-# While others follow the table, it is looked this often whether they still do.
-RESTED_S = 0.1
+# Interval of the checks whether other instances still poll the table.
+REST_CHECK_INTERVAL_S = 0.1
 
 
 class TableFollower:
-    """Keeps the copy of one table up to date."""
+    """Keeps the replica of one table up to date."""
 
     def __init__(
         self,
@@ -35,10 +35,10 @@
         wait_s: Callable[[], float],
         rests: Callable[[], bool],
     ) -> None:
-        """``pause_s``: wait after each change, to take several at once.
+        """``pause_s`` is the pause after each change, which batches further ones.
 
         ``wait_s`` returns how long a poll waits for a change, ``rests`` whether
-        others follow the table for this instance.
+        other instances poll the table on behalf of this one.
         """
         self._table = table
         self._store = store
@@ -47,62 +47,66 @@
         self._pause_s = pause_s
         self._wait_s = wait_s
         self._rests = rests
-        self._after: int | None = None
+        self._last_version: int | None = None
         self._backoff_s = BACKOFF_MIN_S
         self.in_touch = False
         self.heard_at = 0.0
         self._woken = anyio.Event()
-        self._due = False
+        self._poll_requested = False
 
     def poll_now(self) -> None:
-        """Poll once even at rest: a peer knows of rows that it does not bring."""
-        self._due = True
+        """Poll once even at rest: a peer announced rows that it does not send."""
+        self._poll_requested = True
 
     def wake(self) -> None:
-        """Poll anew: a peer knows of a change that this table lacks.
+        """Restart the poll: a peer knows of a change that this replica lacks.
 
-        The connection of the poll that waits may have gone silent.
+        The connection of the pending poll may have stalled.
         """
         self._woken.set()
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
         while True:
-            while self.has_listed and self._rests() and not self._due:
-                await anyio.sleep(RESTED_S)
+            while self.has_listed and self._rests() and not self._poll_requested:
+                await anyio.sleep(REST_CHECK_INTERVAL_S)
             self._woken = anyio.Event()
             await self._poll()
 
     @property
     def has_listed(self) -> bool:
-        """Whether the table was read since the start."""
-        return self._after is not None
+        """Whether the whole table was read since the start or the last lost history."""
+        return self._last_version is not None
 
     async def _poll(self) -> None:
         outcome: News | HistoryLost | Unreachable | None = None
         wait_s = self._poll_wait_s()
-        self._due = False
+        self._poll_requested = False
         sent_at = anyio.current_time()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._cancel_on_wake, tasks.cancel_scope)
-            outcome = await self._ask(wait_s)
+            outcome = await self._fetch(wait_s)
             tasks.cancel_scope.cancel()
         if outcome is None:
             return
         now = anyio.current_time()
         if isinstance(outcome, Unreachable):
             self._beliefs.store.note_failed(due_at=min(sent_at + wait_s, now))
-            await self._lost(outcome.reason)
+            await self._handle_unreachable(outcome.reason)
             return
         self._beliefs.store.note_answered(sent_at=sent_at, now=now)
         if not self.in_touch:
             self.in_touch = True
-            log.info('Store: %s followed again.', self._table, extra={'kind': 'store_regained'})
+            log.info('Store: following %s again.', self._table, extra={'kind': 'store_regained'})
         self.heard_at = now
         self._backoff_s = BACKOFF_MIN_S
         if isinstance(outcome, HistoryLost):
-            log.warning('Store: history of %s lost.', self._table, extra={'kind': 'store_history'})
-            self._after = None
+            log.warning(
+                'Store: history of %s is no longer available, listing the table again.',
+                self._table,
+                extra={'kind': 'store_history'},
+            )
+            self._last_version = None
             return
         self._take(outcome, now)
         if outcome.rows:
@@ -113,27 +117,27 @@
         scope.cancel()
 
     def _poll_wait_s(self) -> float:
-        # A store that goes silent swallows what it is sent. Asked to wait, a
-        # call sent into an outage is given up seconds after it, and until then
-        # nobody knows that the store is back.
-        return self._wait_s() if self.in_touch and self._after is not None else 0.0
+        # An unresponsive store drops the calls that it receives. A long poll sent
+        # during an outage times out only seconds after the outage, and until then
+        # the recovery goes unnoticed. So polls do not wait while out of touch.
+        return self._wait_s() if self.in_touch and self._last_version is not None else 0.0
 
-    async def _ask(self, wait_s: float) -> News | HistoryLost | Unreachable:
-        if self._after is None:
+    async def _fetch(self, wait_s: float) -> News | HistoryLost | Unreachable:
+        if self._last_version is None:
             return await self._store.list_rows(self._table)
-        # After a rest the rows are newer than the last poll: peers sent them.
-        after = max(self._after, self._rows.newest_by_table.get(self._table, 0))
+        # After a rest the replica is newer than the last poll, as peers sent rows.
+        after = max(self._last_version, self._rows.newest_by_table.get(self._table, 0))
         return await self._store.changes(self._table, after=after, wait_s=wait_s)
 
     def _take(self, news: News, now: float) -> None:
-        if self._after is None:
+        if self._last_version is None:
             fresh = self._rows.merge_listing(self._table, news)
         else:
             fresh = self._rows.merge(news.rows)
-        self._after = news.version
+        self._last_version = news.version
         self._beliefs.take(fresh, now, source='store')
 
-    async def _lost(self, reason: str) -> None:
+    async def _handle_unreachable(self, reason: str) -> None:
         if self.in_touch:
             log.warning(
                 'Store: %s not followed.',
--- a/packages/node/src/plantainloft_node/replica/news.py
+++ b/packages/node/src/plantainloft_node/replica/news.py
@@ -1,8 +1,7 @@
-"""Rows of the platform's tables as news, and what they mean.
+"""Rows of the platform's tables, the changes they decode to, and the store interface.
 
-The store behind is an interface: the product follows two tables, one
-with the operator's declarations and one with the endpoints, and keeps
-one of its own with its instances.
+Instances follow two tables of the store, the operator's declarations and the
+endpoints, and maintain a table of the instances themselves.
 """
 
 from abc import ABC, abstractmethod
@@ -37,7 +36,7 @@
 
 
 class NewsRow(NamedTuple):
-    """One row as of ``version``; ``content`` is ``None`` once removed."""
+    """One row as of ``version``; ``content`` is ``None`` if the row was removed."""
 
     table: str
     key: str
@@ -46,7 +45,7 @@
 
 
 class News(NamedTuple):
-    """Rows and the store's version up to which they are complete."""
+    """A set of rows, complete up to ``version`` of the store."""
 
     rows: tuple[NewsRow, ...]
     version: int
@@ -54,19 +53,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HistoryLost:
-    """The store no longer has the changes asked for; list anew."""
+    """The store no longer has the requested changes; the table must be listed again."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoutesDeclared:
-    """A version of routes, services and limits."""
+    """A new version of routes, services and limits was declared."""
 
     table: RouteTable
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ZoneEvacuation:
-    """A zone is to get nothing, or may be used again."""
+    """An availability zone was evacuated, or may be used again."""
 
     zone: str
     evacuated: bool
@@ -74,24 +73,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointListed:
-    """An endpoint is listed, or its row changed."""
+    """An endpoint was added, or its row changed."""
 
     record: EndpointRecord
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointGone:
-    """An endpoint is no longer listed."""
+    """The row of an endpoint was removed."""
 
     endpoint_id: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointUnreadable:
-    """An endpoint's row that says nothing to go by; ``problem`` says why.
+    """The row of an endpoint cannot be decoded, for the reason in ``problem``.
 
-    Another writer has replaced what the endpoint said of itself, so what
-    was known of it holds no longer.
+    Another writer has overwritten the endpoint's own data, so its last valid row
+    no longer applies.
     """
 
     endpoint_id: str
@@ -102,34 +101,40 @@
 
 
 class NewsStore(ABC):
-    """The platform's table service, as far as news goes."""
+    """The operations of the platform's table service that instances use."""
 
     @abstractmethod
     async def list_rows(self, table: str) -> News | Unreachable:
-        """Return all rows of ``table`` as of one moment."""
+        """Return a consistent snapshot of all rows of ``table``."""
 
     @abstractmethod
     async def changes(
         self, table: str, *, after: int, wait_s: float
     ) -> News | HistoryLost | Unreachable:
-        """Return rows changed after ``after``; waits for the first one."""
+        """Return the rows changed after version ``after``.
+
+        Waits up to ``wait_s`` seconds for the first change.
+        """
 
     @abstractmethod
     async def put_row(self, table: str, key: str, content: bytes) -> Unreachable | None:
-        """Write one row, whatever it was before."""
+        """Write one row unconditionally."""
 
     @abstractmethod
     async def remove_row(self, row: NewsRow) -> Unreachable | None:
-        """Remove ``row`` if it still has its version; else do nothing."""
+        """Remove ``row`` if its version is unchanged; otherwise do nothing."""
 
     @abstractmethod
     async def replace_row(self, row: NewsRow, content: bytes) -> bool | Unreachable:
-        """Write ``content`` over ``row``; return whether it still had its version."""
+        """Replace the content of ``row`` if its version is unchanged.
+
+        Returns whether it was.
+        """
 
     @abstractmethod
     async def probe(self) -> Unreachable | None:
-        """Make one small call, to see whether the store answers."""
+        """Make one small call to check whether the store answers."""
 
     @abstractmethod
     def decode(self, row: NewsRow) -> Change | Invalid | None:
-        """Return what ``row`` means; ``None`` if it concerns nobody here."""
+        """Decode ``row``; returns ``None`` if it is irrelevant to this instance."""
