--- a/packages/node/src/plantainloft_node/fleet/demand.py
+++ b/packages/node/src/plantainloft_node/fleet/demand.py
@@ -25,7 +25,7 @@
 
 def zone_heartbeats(members: MemberBook, now: float) -> list[ReceivedHeartbeat]:
     """Return the recent heartbeats of this instance's availability zone."""
-    return members.heard.since(now - DOWN_AFTER_S, zone=members.me.zone)
+    return members.heartbeats.since(now - DOWN_AFTER_S, zone=members.me.zone)
 
 
 def zone_request_rates(
@@ -60,7 +60,7 @@
     reported = members.reported_usage
     if reported is not None and now - reported.at < DOWN_AFTER_S:
         return dict(reported.use_by_organisation)
-    demand_by_zone = members.demands.by_zone(now)
+    demand_by_zone = members.zone_demands.by_zone(now)
     demand_by_zone.pop(members.me.zone, None)
     elsewhere = (zone.use_by_organisation for zone in demand_by_zone.values())
     return add_up_uses((zone_usage(zone_heartbeats(members, now), mine), *elsewhere))
@@ -86,7 +86,7 @@
     while the statuses of its peers have not expired yet.
     """
     counted = members.sharing(now)
-    if members.heard.newest_at() <= now - DOWN_AFTER_S:
+    if members.heartbeats.newest_at() <= now - DOWN_AFTER_S:
         return FleetSize(counted=len(counted), reached=bool(counted))
     up = sum(members.is_up(name, now) for name in counted)
     return FleetSize(counted=len(counted), reached=up + bool(counted))
@@ -94,7 +94,7 @@
 
 def demand_of_zones(members: MemberBook, mine: Mapping[str, float], now: float) -> list[ZoneDemand]:
     """Return the demand of each availability zone."""
-    demand_by_zone = members.demands.by_zone(now)
+    demand_by_zone = members.zone_demands.by_zone(now)
     if members.me.zone not in demand_by_zone:
         rates = zone_request_rates(zone_heartbeats(members, now), mine)
         demand = ZoneDemand(members.me.region, rates)
--- a/packages/node/src/plantainloft_node/fleet/members.py
+++ b/packages/node/src/plantainloft_node/fleet/members.py
@@ -38,8 +38,8 @@
         self.me = me
         self.known = KnownMembers(me=me)
         self.signs = LivenessTable()
-        self.heard = HeartbeatTable()
-        self.demands = ZoneDemandTable()
+        self.heartbeats = HeartbeatTable()
+        self.zone_demands = ZoneDemandTable()
         self.reported_usage: ReportedUsage | None = None
         self._learned_at_by_name: dict[str, float] = {}
         # Whether the list of all instances was read since this process started.
@@ -70,7 +70,7 @@
         ):
             return False
         self._register(beat.member)
-        self.heard.put(beat, now)
+        self.heartbeats.put(beat, now)
         until = now + DOWN_AFTER_S
         liveness = Liveness(beat.ready, beat.leaving, beat.follows, at=now, until=until, since=now)
         return self.signs.record(name, liveness, now)
@@ -94,7 +94,7 @@
             demand = ZoneDemand(
                 sender.region, report.zone_rate_by_service, report.zone_usage_by_organisation
             )
-            self.demands.put(sender.zone, demand, at=sent_at, until=sent_at + timeout_s)
+            self.zone_demands.put(sender.zone, demand, at=sent_at, until=sent_at + timeout_s)
 
     def is_up(self, name: str, now: float) -> bool:
         """Return whether ``name`` is up, by its heartbeats here or at a peer."""
@@ -123,7 +123,7 @@
         for name in gone:
             self.known.drop(name)
             self.signs.drop(name)
-            self.heard.drop(name)
+            self.heartbeats.drop(name)
             self._learned_at_by_name.pop(name, None)
         return gone
 
@@ -153,7 +153,7 @@
         if self.known.put(member):
             # The status of the former incarnation, such as leaving, is obsolete.
             self.signs.drop(member.name)
-            self.heard.drop(member.name)
+            self.heartbeats.drop(member.name)
 
     def _apply_status(
         self, status: MemberStatus, sent_at: float, timeout_s: float, now: float
--- a/packages/node/src/plantainloft_node/fleet/ranking.py
+++ b/packages/node/src/plantainloft_node/fleet/ranking.py
@@ -74,7 +74,7 @@
 
 def is_answering(member: FleetMember, members: MemberBook, now: float) -> bool:
     """Return whether ``member`` has recently sent a heartbeat to this instance."""
-    heard_at = members.heard.at(member.name)
+    heard_at = members.heartbeats.at(member.name)
     return heard_at is not None and now - heard_at < UNRESPONSIVE_AFTER_S
 
 
