--- a/packages/node/src/plantainloft_node/entry/decision_log.py
+++ b/packages/node/src/plantainloft_node/entry/decision_log.py
@@ -1,25 +1,25 @@
-"""Structured logs on standard output: bounded in volume, never blocking."""
+"""Structured logs on standard output, rate-limited and written without blocking."""
 
 import json
 import logging
 import os
 from typing import Any
 
-__all__ = ['DecisionFormatter', 'QuietStream', 'VolumeFilter', 'setup_decision_log']
+__all__ = ['JsonFormatter', 'NonBlockingStream', 'RateLimitFilter', 'setup_decision_log']
 
 STANDARD_OUTPUT = 1
-# Lines that may wait while nobody reads; more are dropped and counted.
-BUFFER_BYTES = 262144
-# Lines a second of one kind. Ordinary successes are many and alike: a few
-# show that the process serves. What refuses, fails or changes a belief is
-# kept up to a rate at which a reader still follows.
-SAMPLED_PER_S = 2.0
-KEPT_PER_S = 40.0
+# Output kept while the reader is slow; lines beyond it are dropped and counted.
+MAX_BUFFERED_BYTES = 262144
+# Lines per second of one kind. Successful requests are frequent and alike, so
+# a small sample is enough. Refusals, failures and state changes are all kept,
+# up to a rate that a person can still read.
+SAMPLED_LINES_PER_S = 2.0
+OTHER_LINES_PER_S = 40.0
 SAMPLED_LOG_KINDS = frozenset(('answered',))
 
 
-class DecisionFormatter(logging.Formatter):
-    """One JSON object a line: time, level, instance, message, fields."""
+class JsonFormatter(logging.Formatter):
+    """Formats a record as one line of JSON: time, level, instance, kind, message and fields."""
 
     def __init__(self, *, instance: str) -> None:
         super().__init__()
@@ -41,69 +41,73 @@
         return json.dumps(line, default=str)
 
 
-class VolumeFilter(logging.Filter):
-    """Lets through a bounded rate of each kind, and counts the rest.
+class RateLimitFilter(logging.Filter):
+    """Limits the rate of lines of each kind with a token bucket.
 
-    The count of lines left out goes with the next line of the kind.
+    The number of suppressed lines is reported on the next line of the same
+    kind, as ``left_out``.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._credit_by_kind: dict[str, float] = {}
-        self._seen_by_kind: dict[str, float] = {}
+        self._tokens_by_kind: dict[str, float] = {}
+        self._last_seen_by_kind: dict[str, float] = {}
         self._left_out_by_kind: dict[str, int] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether ``record`` is written."""
+        """Return whether to write ``record``."""
         kind = getattr(record, 'kind', 'note')
-        per_s = SAMPLED_PER_S if kind in SAMPLED_LOG_KINDS else KEPT_PER_S
-        passed_s = record.created - self._seen_by_kind.get(kind, 0.0)
-        credit = min(per_s, self._credit_by_kind.get(kind, per_s) + passed_s * per_s)
-        self._seen_by_kind[kind] = record.created
-        if credit < 1:
-            self._credit_by_kind[kind] = credit
+        lines_per_s = SAMPLED_LINES_PER_S if kind in SAMPLED_LOG_KINDS else OTHER_LINES_PER_S
+        elapsed_s = record.created - self._last_seen_by_kind.get(kind, 0.0)
+        tokens = min(
+            lines_per_s, self._tokens_by_kind.get(kind, lines_per_s) + elapsed_s * lines_per_s
+        )
+        self._last_seen_by_kind[kind] = record.created
+        if tokens < 1:
+            self._tokens_by_kind[kind] = tokens
             self._left_out_by_kind[kind] = self._left_out_by_kind.get(kind, 0) + 1
             return False
-        self._credit_by_kind[kind] = credit - 1
+        self._tokens_by_kind[kind] = tokens - 1
         record.left_out = self._left_out_by_kind.pop(kind, 0)
         return True
 
 
-class QuietStream:
-    """Writes to a descriptor without ever waiting for its reader.
+class NonBlockingStream:
+    """Writes to a file descriptor without waiting for its reader.
 
-    A full pipe would stop the whole process: one would see every request
-    late at once. What does not fit stays in a bounded buffer, and lines
-    beyond that are dropped and counted.
+    A blocking write to a full pipe would stop the event loop and delay every
+    request. Output that the pipe does not accept is kept in a bounded buffer;
+    lines that exceed the buffer are dropped and counted.
     """
 
     def __init__(self, *, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._waiting = bytearray()
+        self._pending = bytearray()
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Write ``text``, or keep or drop it."""
+        """Write ``text``, or buffer it, or drop it if the buffer is full."""
         encoded = text.encode()
-        if len(self._waiting) + len(encoded) > BUFFER_BYTES:
+        if len(self._pending) + len(encoded) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self._waiting += encoded
+        self._pending += encoded
         try:
-            written = os.write(self._descriptor, self._waiting)
+            written = os.write(self._descriptor, self._pending)
         except OSError:
-            # Nobody reads just now, or never again; the buffer is bounded.
+            # The pipe is full or its reader has closed it. The buffer is bounded,
+            # so the text can stay in it.
             return
-        self._waiting = self._waiting[written:]
+        self._pending = self._pending[written:]
 
     def flush(self) -> None:
-        """Nothing waits but what the reader does not take."""
+        """Do nothing: ``write`` has already written all that the reader accepts."""
 
 
 def setup_decision_log(*, level: str, instance: str) -> None:
-    """Send logs to standard output as structured lines."""
-    handler = logging.StreamHandler(QuietStream(descriptor=STANDARD_OUTPUT))
-    handler.setFormatter(DecisionFormatter(instance=instance))
-    handler.addFilter(VolumeFilter())
+    """Configure the root logger to write JSON lines to standard output."""
+    handler = logging.StreamHandler(NonBlockingStream(descriptor=STANDARD_OUTPUT))
+    handler.setFormatter(JsonFormatter(instance=instance))
+    handler.addFilter(RateLimitFilter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -1,4 +1,4 @@
-"""Structured logs: bounded, joined by id, and never in the way."""
+"""Structured logs: rate limits, fields, and writing without blocking."""
 
 import json
 import logging
@@ -7,7 +7,7 @@
 
 import pytest
 
-from plantainloft_node.entry.decision_log import DecisionFormatter, QuietStream, VolumeFilter
+from plantainloft_node.entry.decision_log import JsonFormatter, NonBlockingStream, RateLimitFilter
 
 
 def record(kind: str, *, at: float, **fields: object) -> logging.LogRecord:
@@ -19,38 +19,38 @@
 
 
 def test_a_line_is_json_with_its_fields() -> None:
-    text = DecisionFormatter(instance='e1').format(record('refused', at=5.0, request='r1'))
+    text = JsonFormatter(instance='e1').format(record('refused', at=5.0, request='r1'))
     line = json.loads(text)
     assert line['instance'] == 'e1'
     assert line['kind'] == 'refused'
     assert line['request'] == 'r1'
 
 
-def test_ordinary_successes_are_sampled_and_the_rest_is_counted() -> None:
-    volume = VolumeFilter()
+def test_successes_are_sampled_and_suppressed_lines_counted() -> None:
+    rate_limit = RateLimitFilter()
     lines = [record('answered', at=100 + step / 100) for step in range(400)]
-    written = [line for line in lines if volume.filter(line)]
+    written = [line for line in lines if rate_limit.filter(line)]
     assert 4 <= len(written) <= 12
     last = record('answered', at=200.0)
-    assert volume.filter(last)
+    assert rate_limit.filter(last)
     counted = sum(line.left_out for line in [*written, last])  # type: ignore[attr-defined]
     assert len(written) + counted == 400
 
 
-def test_refusals_are_kept_where_successes_are_not() -> None:
-    volume = VolumeFilter()
-    written = [volume.filter(record('refused', at=100 + step / 10)) for step in range(100)]
+def test_refusals_are_not_sampled() -> None:
+    rate_limit = RateLimitFilter()
+    written = [rate_limit.filter(record('refused', at=100 + step / 10)) for step in range(100)]
     assert all(written)
 
 
-def test_a_reader_that_stalls_costs_no_time(capfd: pytest.CaptureFixture[str]) -> None:
-    """Symptom: every request is late at once, and the processor idle.
+def test_a_stalled_reader_does_not_block_the_writer(capfd: pytest.CaptureFixture[str]) -> None:
+    """Regression test: all requests were delayed at once while the CPU was idle.
 
-    Nobody reads the standard output any more. Its pipe fills up, and the
-    next line written waits for ever, and the process with it.
+    When nothing reads standard output any more, its pipe fills up. The next
+    blocking write would then stop the whole process for ever.
     """
     reader, writer = os.pipe()
-    stream = QuietStream(descriptor=writer)
+    stream = NonBlockingStream(descriptor=writer)
     began = time.monotonic()
     for _ in range(5000):
         stream.write('x' * 200 + '\n')
