--- a/packages/node/src/plantainloft_node/entry/observing.py
+++ b/packages/node/src/plantainloft_node/entry/observing.py
@@ -1,4 +1,4 @@
-"""The observe stage: rows from the store or peers become beliefs."""
+"""Replicates rows from the store or from peers and derives the routing state from them."""
 
 from collections.abc import Callable
 from types import MappingProxyType
@@ -11,12 +11,14 @@
 
 __all__ = ['Observation']
 
-# Changes of endpoints come in bursts (a release, a zone that restarts).
-# A pause after each answer takes several with the next call; an endpoint
-# that leaves is heeded well within the 2.5 s that it goes on serving.
-# Longer ago makes no difference to anybody.
-LONG_SERVED_S = 3600.0
-PAUSE_BY_TABLE = MappingProxyType({DECLARATIONS: 0.1, ENDPOINTS: 0.8})
+# Longer times of uninterrupted service are reported as this; no decision depends
+# on the difference.
+MAX_SERVED_S = 3600.0
+# Endpoints change in bursts (a release, the restart of a zone). A pause after
+# each answer lets the next poll return several changes at once. It is short
+# enough to notice a leaving endpoint well within the 2.5 s for which it keeps
+# serving.
+POLL_PAUSE_S_BY_TABLE = MappingProxyType({DECLARATIONS: 0.1, ENDPOINTS: 0.8})
 
 
 def _never() -> bool:
@@ -24,7 +26,7 @@
 
 
 class Observation:
-    """The copy of the rows, those who keep it, and what follows from it."""
+    """The local copy of the store's rows, its followers, and the state derived from it."""
 
     def __init__(
         self,
@@ -34,11 +36,12 @@
         wait_s: Callable[[], float],
         rests: Callable[[], bool] = _never,
     ) -> None:
-        """``wait_s`` returns how long a poll of the store waits for a change.
+        """Create an empty copy.
 
-        ``rests`` returns whether others follow the store for this instance.
+        ``wait_s`` returns how long a poll of the store waits for a change.
+        ``rests`` returns whether relays poll the store for this instance.
         """
-        self._others_follow = rests
+        self._is_polled_by_others = rests
         self.store = store
         self.book = EndpointBook(region_by_zone=region_by_zone)
         self.rows = RowCopy()
@@ -53,23 +56,27 @@
                 wait_s=wait_s,
                 rests=self.rests if table == ENDPOINTS else _never,
             )
-            for table, pause_s in PAUSE_BY_TABLE.items()
+            for table, pause_s in POLL_PAUSE_S_BY_TABLE.items()
         }
 
     def rests(self) -> bool:
-        """Return whether others follow the endpoints' table for this instance.
+        """Return whether relays poll the table of endpoints for this instance.
 
-        It goes on polling the declarations; only an answer of its own shows
-        after a failure of its own when the store was back.
+        The instance keeps polling the declarations itself: after one of its own
+        calls failed, only an answer to one of its own calls shows when the
+        store became available again.
         """
-        return self._others_follow()
+        return self._is_polled_by_others()
 
     def follows(self) -> bool:
-        """Return whether this instance follows both tables and is in touch."""
+        """Return whether this instance polls both tables itself and both polls succeed."""
         followers = self.followers.values()
         return not self.rests() and all(one.in_touch and one.has_listed for one in followers)
 
     def store_served_s(self, now: float) -> float | None:
-        """Return for how long the store has served, an hour at most."""
+        """Return for how long the store has been available, at most an hour.
+
+        ``None`` while it is not.
+        """
         served_s = self.beliefs.store.served_s(now)
-        return None if served_s is None else min(served_s, LONG_SERVED_S)
+        return None if served_s is None else min(served_s, MAX_SERVED_S)
