--- a/packages/node/src/plantainloft_node/entry/listening.py
+++ b/packages/node/src/plantainloft_node/entry/listening.py
@@ -1,4 +1,4 @@
-"""The listeners of an entry process, and the connections they accepted."""
+"""Listening sockets of an entry process, and the connections accepted on them."""
 
 import logging
 
@@ -12,24 +12,23 @@
 
 log = logging.getLogger(__name__)
 
-# Connections that may wait to be accepted: a busy second's worth. With a
-# full queue callers' opening packets are dropped and sent again after
-# seconds.
-BACKLOG = 1024
+# Connections waiting to be accepted: those of a busy second. When the queue is
+# full, the kernel drops SYN packets, which callers resend only after seconds.
+ACCEPT_BACKLOG = 1024
 
 
 class Listeners:
-    """Accepts callers until told to lead them away."""
+    """Accepts connections, and closes them gracefully when draining starts."""
 
     def __init__(self) -> None:
         self._connections: set[CallerConnection] = set()
-        self._leaving = False
+        self._draining = False
 
     async def listen(self, address: str, handler: Handler) -> None:
-        """Serve callers of ``address`` (``host:port``) until cancelled."""
+        """Accept and serve connections on ``address`` (``host:port``) until cancelled."""
         host, _, port = address.rpartition(':')
         listener = await anyio.create_tcp_listener(
-            local_host=host, local_port=int(port), backlog=BACKLOG
+            local_host=host, local_port=int(port), backlog=ACCEPT_BACKLOG
         )
 
         async def serve(stream: SocketStream) -> None:
@@ -38,25 +37,25 @@
         await listener.serve(serve)
 
     def start_draining(self) -> None:
-        """End each connection with its next answer."""
-        self._leaving = True
+        """Close each connection after its next response."""
+        self._draining = True
         for connection in self._connections:
             connection.closing = True
 
     def close_idle(self) -> None:
-        """End the connections that wait for no answer."""
+        """Close the connections that have no request in progress."""
         for connection in tuple(self._connections):
             connection.close_idle()
 
     async def _serve(self, stream: SocketStream, handler: Handler) -> None:
         connection = CallerConnection(stream=stream, handler=handler, clock=anyio.current_time)
-        connection.closing = self._leaving
+        connection.closing = self._draining
         self._connections.add(connection)
         try:
             await connection.run()
         except Exception:
-            # A defect met by one caller's connection must not end all
-            # others with the process.
+            # An unexpected error on one connection must not end the process and
+            # with it all other connections.
             log.exception('Entry: a connection failed.', extra={'kind': 'defect'})
         finally:
             self._connections.discard(connection)
--- a/packages/node/src/plantainloft_node/entry/peer_calls.py
+++ b/packages/node/src/plantainloft_node/entry/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls between entry instances, on streams."""
+"""Remote procedure calls between entry instances, over streams."""
 
 import logging
 from collections.abc import Mapping
@@ -17,11 +17,11 @@
 
 log = logging.getLogger(__name__)
 
-CALL_S = 1.5
+CALL_TIMEOUT_S = 1.5
 
 
 class PeerCalls:
-    """Calls other instances, and has theirs answered."""
+    """Calls other instances and serves their calls."""
 
     def __init__(self, *, settings: EntrySettings, tasks: TaskGroup) -> None:
         self._control = settings.control
@@ -29,10 +29,10 @@
         self._links = Links(tasks=tasks, traffic=self._traffic)
 
     async def call(self, member: FleetMember, kind: str, content: Any) -> Any | Unreachable:
-        """Ask ``member``; return its answer's content, or ``Unreachable``."""
+        """Call ``member`` and return the content of its answer, or ``Unreachable``."""
         host = member.front.rpartition(':')[0]
         address = f'{host}:{self._control.rpartition(":")[2]}'
-        answer = await self._links.call(address, kind, content, timeout_s=CALL_S)
+        answer = await self._links.call(address, kind, content, timeout_s=CALL_TIMEOUT_S)
         if isinstance(answer, Unreachable):
             log.info(
                 'Fleet: no answer from %s.',
@@ -42,5 +42,5 @@
         return answer
 
     async def serve(self, handler_by_kind: Mapping[str, Handler]) -> None:
-        """Answer the others' calls until cancelled."""
+        """Answer calls of other instances until cancelled."""
         await serve_peers(self._control, handler_by_kind, traffic=self._traffic)
--- a/packages/node/src/plantainloft_node/entry/settings.py
+++ b/packages/node/src/plantainloft_node/entry/settings.py
@@ -1,4 +1,4 @@
-"""The settings of an entry process, read from INI."""
+"""Settings of an entry process, read from an INI file."""
 
 from typing import NamedTuple
 
@@ -15,30 +15,30 @@
 
 __all__ = ['EntrySettings', 'parse_entry_settings']
 
-MS = 1000.0
-# Where the settings say nothing: bounds of today's deployments.
-GRACE_S = 6.0
-RETRY_RATIO = 0.2
-RETRY_EXTRA = 64.0
-RETRY_WINDOW_S = 10.0
-COLD_OVER = 1.5
-COLD_SLACK = 5.0
-MAX_SHIFT = 0.15
+MS_PER_S = 1000.0
+# Defaults that match current deployments.
+DEFAULT_GRACE_S = 6.0
+DEFAULT_RETRY_RATIO = 0.2
+DEFAULT_RETRY_EXTRA = 64.0
+DEFAULT_RETRY_WINDOW_S = 10.0
+DEFAULT_COLD_OVER = 1.5
+DEFAULT_COLD_SLACK = 5.0
+DEFAULT_MAX_SHIFT = 0.15
 _BOUNDS = 'bounds'
 _LISTEN = 'listen'
 
 
 def duration(raw: str) -> float:
-    """Convert ``250ms`` or ``1.5s`` to seconds."""
+    """Convert a duration such as ``250ms`` or ``1.5s`` to seconds."""
     if raw.endswith('ms'):
-        return positive(raw.removesuffix('ms')) / MS
+        return positive(raw.removesuffix('ms')) / MS_PER_S
     if raw.endswith('s'):
         return positive(raw.removesuffix('s'))
     raise ValueError('must be a time such as 250ms or 1.5s')
 
 
 def pairs(raw: str) -> dict[str, str]:
-    """Convert ``a=b, c=d`` to a mapping."""
+    """Convert a list such as ``a=b, c=d`` to a mapping."""
     found = {}
     for part in raw.split(','):
         name, equals, content = part.strip().partition('=')
@@ -49,7 +49,7 @@
 
 
 class EntrySettings(NamedTuple):
-    """Typed settings; times in seconds, addresses ``host:port``."""
+    """Typed settings. Times are in seconds, addresses have the form ``host:port``."""
 
     name: str
     zone: str
@@ -82,7 +82,7 @@
 
     @property
     def peer(self) -> str:
-        """The address for beats."""
+        """The UDP address for heartbeats."""
         return f'{self.front.rpartition(":")[0]}:{self.peer_port}'
 
 
@@ -99,13 +99,13 @@
     Option('peers', 'seeds', addresses, ()),
     Option('store', 'address', str),
     Option('lookup', 'ttl', duration, 1.0),
-    Option(_BOUNDS, 'grace', duration, GRACE_S),
-    Option(_BOUNDS, 'retry_ratio', positive, RETRY_RATIO),
-    Option(_BOUNDS, 'retry_extra', positive, RETRY_EXTRA),
-    Option(_BOUNDS, 'retry_window', duration, RETRY_WINDOW_S),
-    Option(_BOUNDS, 'cold_over', positive, COLD_OVER),
-    Option(_BOUNDS, 'cold_slack', positive, COLD_SLACK),
-    Option(_BOUNDS, 'max_shift', positive, MAX_SHIFT),
+    Option(_BOUNDS, 'grace', duration, DEFAULT_GRACE_S),
+    Option(_BOUNDS, 'retry_ratio', positive, DEFAULT_RETRY_RATIO),
+    Option(_BOUNDS, 'retry_extra', positive, DEFAULT_RETRY_EXTRA),
+    Option(_BOUNDS, 'retry_window', duration, DEFAULT_RETRY_WINDOW_S),
+    Option(_BOUNDS, 'cold_over', positive, DEFAULT_COLD_OVER),
+    Option(_BOUNDS, 'cold_slack', positive, DEFAULT_COLD_SLACK),
+    Option(_BOUNDS, 'max_shift', positive, DEFAULT_MAX_SHIFT),
     Option(_BOUNDS, 'limit_window', duration, DEFAULT_TERMS.window_s),
     Option(_BOUNDS, 'limit_over', not_negative, DEFAULT_TERMS.over),
     Option(_BOUNDS, 'limit_slack', not_negative, DEFAULT_TERMS.slack),
@@ -114,7 +114,7 @@
 
 
 def parse_entry_settings(text: str) -> EntrySettings | Invalid:
-    """Check INI ``text`` into settings, or list every problem."""
+    """Parse and validate INI ``text``; return the settings or every problem found."""
     found = read_ini(text, OPTIONS)
     if isinstance(found, Invalid):
         return found
