--- a/packages/node/src/plantainloft_node/entry/sharing.py
+++ b/packages/node/src/plantainloft_node/entry/sharing.py
@@ -1,8 +1,9 @@
-"""News between entry instances, for when the store serves some of them.
+"""Replication of rows between entry instances.
 
-Beats tell which rows an instance knows. One that lags asks the sender
-for what it lacks: while the store refuses this instance, forgets its
-history or is down at a start, its peers are the way to the news.
+Heartbeats carry the newest row versions that an instance has. An instance that
+lags behind requests the missing rows from the sender. It thus stays up to date
+while the store rejects its calls, has lost its change history or is down when
+the instance starts.
 """
 
 import logging
@@ -25,24 +26,26 @@
 
 log = logging.getLogger(__name__)
 
-# The own poll of the store usually brings a change within a few
-# milliseconds; only what is still missing after this is asked of a peer.
-LAG_S = 0.35
-# A large configuration takes longer from the store.
-LARGE_LAG_S = 2.0
-# A peer that was cut off or has frozen does not answer; a second is asked.
-ASKED_AGAIN_S = 0.8
+# An instance's own poll usually returns a change within a few milliseconds; only
+# rows that are still missing after this delay are requested from a peer.
+PEER_FETCH_DELAY_S = 0.35
+# A large configuration takes longer to read from the store.
+LARGE_FETCH_DELAY_S = 2.0
+# A peer that is unreachable or hangs does not answer; after this time another
+# peer may be asked.
+FETCH_RETRY_AFTER_S = 0.8
 NEWS_CALL = 'news'
 SMALL_NEWS_CALL = 'small_news'
-# Longer rows hold up all that is asked for behind them: a relay has a link like
-# anybody's, and many ask it at once. Those who rest read them from the store.
-MOST_SMALL_BYTES = 16_000
+# Larger tables would delay all answers queued behind them: a relay has no more
+# bandwidth than any other instance, and many instances call it at once. Instances
+# that delegate their polling read such tables from the store.
+MAX_SMALL_TABLE_BYTES = 16_000
 MEMBERS_CALL = 'members'
 _MALFORMED = (KeyError, TypeError, ValueError, AttributeError)
 
 
 class NewsSharing:
-    """Asks peers for rows and answers theirs."""
+    """Requests missing rows from peers and answers their requests."""
 
     def __init__(
         self,
@@ -59,44 +62,48 @@
         self._beliefs = observation.beliefs
         self._followers = observation.followers
         self._tasks = tasks
-        self._asking = 0
-        self._awaiting_large = False
-        self._asked_at = 0.0
+        self._fetches_in_progress = 0
+        self._large_fetch_scheduled = False
+        self._last_fetch_at = 0.0
 
     def on_beat(self, beat: Beat) -> None:
-        """Look whether the sender knows rows that are missing here."""
+        """Request the rows that are missing here from the sender of a heartbeat."""
         self.on_hint(Hint(beat.member, beat.newest_by_table, ()))
 
     def on_hint(self, hint: Hint) -> None:
-        """Look whether a peer knows rows or instances that are missing here."""
+        """Request rows and instances that are missing here from a peer that has them."""
         now = anyio.current_time()
         if hint.relayed is not None:
-            self._note_told(hint.member, hint.relayed.store_served_s, now)
-        waits = self._asking and now - self._asked_at < ASKED_AGAIN_S
-        if not waits and (_lacks_rows(self._rows, hint) or _lacks_members(self._members, hint)):
-            self._asking += 1
-            self._asked_at = now
-            self._tasks.start_soon(self._catch_up, hint)
+            self._note_relayed_status(hint.member, hint.relayed.store_served_s, now)
+        is_waiting = self._fetches_in_progress and now - self._last_fetch_at < FETCH_RETRY_AFTER_S
+        if not is_waiting and (
+            _lacks_rows(self._rows, hint) or _lacks_members(self._members, hint)
+        ):
+            self._fetches_in_progress += 1
+            self._last_fetch_at = now
+            self._tasks.start_soon(self._fetch_missing, hint)
 
     async def tell(self, newest_by_table: Any) -> Any:
-        """Return the rows newer than those that a peer knows."""
-        return self._told(newest_by_table, left_out=())
+        """Answer a call for the rows newer than those that a peer has."""
+        return self._rows_answer(newest_by_table, left_out=())
 
     async def tell_small(self, newest_by_table: Any) -> Any:
-        """Return the same, but name tables with many bytes instead of their rows."""
+        """Answer like ``tell``, but only name large tables instead of sending their rows."""
         size_by_table: dict[str, int] = {}
         for row in self._rows.since(newest_by_table):
             size = len(row.content or b'')
             size_by_table[row.table] = size_by_table.get(row.table, 0) + size
-        large = [table for table, size in size_by_table.items() if size > MOST_SMALL_BYTES]
-        return self._told(newest_by_table, left_out=large)
+        large = [table for table, size in size_by_table.items() if size > MAX_SMALL_TABLE_BYTES]
+        return self._rows_answer(newest_by_table, left_out=large)
 
     async def tell_members(self, _: Any) -> Any:
-        """Return all instances that count, this one included."""
+        """Answer a call for the instances that count for shared limits, including this one."""
         counted = self._members.counted(anyio.current_time())
         return [list(member) for member in (*counted, self._members.me)]
 
-    def _told(self, newest_by_table: dict[str, int], *, left_out: Sequence[str]) -> dict[str, Any]:
+    def _rows_answer(
+        self, newest_by_table: dict[str, int], *, left_out: Sequence[str]
+    ) -> dict[str, Any]:
         whole = [table for table in self._rows.cut_off(newest_by_table) if table not in left_out]
         known = {table: version for table, version in newest_by_table.items() if table not in whole}
         rows = [row for row in self._rows.since(known) if row.table not in left_out]
@@ -107,73 +114,74 @@
             'store_served_s': self._observation.store_served_s(anyio.current_time()),
         }
 
-    async def _catch_up(self, hint: Hint) -> None:
+    async def _fetch_missing(self, hint: Hint) -> None:
         if not (self._observation.rests() and _lacks_table(self._rows, hint, ENDPOINTS)):
-            await anyio.sleep(LAG_S)
+            await anyio.sleep(PEER_FETCH_DELAY_S)
         if _lacks_rows(self._rows, hint):
-            await self._ask(hint.member)
+            await self._fetch_rows(hint.member)
         if _lacks_members(self._members, hint):
-            await self._ask_members(hint.member)
-        self._asking -= 1
+            await self._fetch_members(hint.member)
+        self._fetches_in_progress -= 1
 
-    def _note_told(self, member: FleetMember, served_s: float | None, now: float) -> None:
+    def _note_relayed_status(self, member: FleetMember, served_s: float | None, now: float) -> None:
         zone = self._members.known.by_zone()[self._members.me.zone]
         if self._members.me not in relays_in(zone, self._members, now):
             self._beliefs.store.note_told(member.name, served_s, now)
 
-    async def _ask(self, member: FleetMember) -> None:
+    async def _fetch_rows(self, member: FleetMember) -> None:
         if not self._observation.rests():
-            await self._ask_all(member)
+            await self._fetch_all_rows(member)
             return
         answer = await self._calls.call(member, SMALL_NEWS_CALL, self._rows.newest_by_table)
         if isinstance(answer, Unreachable):
-            self._poll((ENDPOINTS,))
+            self._poll_store((ENDPOINTS,))
             return
-        left_out = self._take(member, answer)
-        self._poll(left_out)
-        if DECLARATIONS in left_out and not self._awaiting_large:
-            self._awaiting_large = True
-            self._tasks.start_soon(self._await_large, member)
+        left_out = self._apply_answer(member, answer)
+        self._poll_store(left_out)
+        if DECLARATIONS in left_out and not self._large_fetch_scheduled:
+            self._large_fetch_scheduled = True
+            self._tasks.start_soon(self._fetch_large_later, member)
 
-    async def _await_large(self, member: FleetMember) -> None:
-        """Ask for a large configuration that the own poll does not bring.
+    async def _fetch_large_later(self, member: FleetMember) -> None:
+        """Request a large configuration from a peer if the own poll does not return it.
 
-        A silent store may have swallowed the poll; usually it is on its way.
+        Usually the poll is about to return it, but an unresponsive store may never
+        answer the poll.
         """
         version = self._rows.newest_by_table.get(DECLARATIONS)
-        await anyio.sleep(LARGE_LAG_S)
+        await anyio.sleep(LARGE_FETCH_DELAY_S)
         if self._rows.newest_by_table.get(DECLARATIONS) == version:
-            await self._ask_all(member)
-        self._awaiting_large = False
+            await self._fetch_all_rows(member)
+        self._large_fetch_scheduled = False
 
-    async def _ask_all(self, member: FleetMember) -> None:
+    async def _fetch_all_rows(self, member: FleetMember) -> None:
         answer = await self._calls.call(member, NEWS_CALL, self._rows.newest_by_table)
         if not isinstance(answer, Unreachable):
-            self._take(member, answer)
+            self._apply_answer(member, answer)
 
-    def _take(self, member: FleetMember, answer: Any) -> tuple[str, ...]:
-        """Take the rows of an answer; return the tables that it leaves out."""
+    def _apply_answer(self, member: FleetMember, answer: Any) -> tuple[str, ...]:
+        """Apply the rows of an answer; return the tables that it leaves out."""
         try:
-            fresh, left_out = self._read_news(answer)
+            fresh, left_out = self._parse_answer(answer)
         except _MALFORMED as exc:
             _log_malformed(member, exc)
             return ()
         now = anyio.current_time()
-        self._note_told(member, answer.get('store_served_s'), now)
+        self._note_relayed_status(member, answer.get('store_served_s'), now)
         self._beliefs.take(fresh, now, source=member.name)
         changed = {row.table for row in fresh}
         for table in changed:
             self._followers[table].wake()
         return left_out
 
-    def _poll(self, tables: Iterable[str]) -> None:
-        """Have tables read from the store that no peer brings."""
+    def _poll_store(self, tables: Iterable[str]) -> None:
+        """Poll the store once for tables that peers do not send."""
         for table in tables:
             follower = self._followers.get(table)
             if follower is not None:
                 follower.poll_now()
 
-    async def _ask_members(self, member: FleetMember) -> None:
+    async def _fetch_members(self, member: FleetMember) -> None:
         answer = await self._calls.call(member, MEMBERS_CALL, None)
         if isinstance(answer, Unreachable):
             return
@@ -187,7 +195,7 @@
             self._members.learn(one, now)
         self._members.listed = True
 
-    def _read_news(self, answer: Any) -> tuple[list[NewsRow], tuple[str, ...]]:
+    def _parse_answer(self, answer: Any) -> tuple[list[NewsRow], tuple[str, ...]]:
         left_out = tuple(str(table) for table in answer.get('left_out', ()))
         rows = [NewsRow(*row) for row in answer['rows']]
         return self._merge(rows, answer.get('whole', {})), left_out
@@ -213,10 +221,10 @@
 
 
 def _log_malformed(member: FleetMember, exc: Exception) -> None:
-    # A peer of another version, during a rolling upgrade. Let out of its task,
-    # the error would end this process as well.
+    # During a rolling upgrade a peer may run another version. If the exception
+    # left its task, it would end the process.
     log.warning(
-        'Fleet: news from %s not understood.',
+        'Fleet: malformed answer from %s.',
         member.name,
         extra={'kind': 'bad_news', 'fields': {'problem': f'{type(exc).__name__}: {exc}'}},
     )
--- a/packages/node/src/plantainloft_node/entry/store_probes.py
+++ b/packages/node/src/plantainloft_node/entry/store_probes.py
@@ -1,11 +1,12 @@
-"""Whether the store is away, or fails this instance only: ask the peers.
-
-A call that fails tells one instance that something is wrong between it and the
-store. Taken for an outage, a row that goes then would be taken for lapsed, and
-its endpoint be used on though it left; one would see requests reach it from
-just the instances that the store fails. So each failure has a few peers probe
-the store. A peer that it serves says since when; one that it fails as well now
-knows of the outage, before rows that lapsed in it come back to light.
+"""Asks peers whether the store is down, or unavailable to this instance only.
+
+After a failed call an instance only knows that something is wrong between it
+and the store. If it assumed an outage, it would take a row that is removed at
+that time for an expired one, and keep using the endpoint although it has left.
+Only the instances that cannot reach the store would send requests there. So
+after each failure a few peers are asked to probe the store. A peer that reaches
+it answers for how long the store has been available. A peer that does not
+reach it learns of the outage, before it hears of rows that expired during it.
 """
 
 import logging
@@ -24,20 +25,20 @@
 log = logging.getLogger(__name__)
 
 PROBE_CALL = 'probe'
-# Peers asked at once, and one after the other until the store serves one. Many
-# instances may be failed together; with too few asked, a failure often stays
-# without a word, and an endpoint that left gets requests for the whole grace.
+# Peers asked concurrently, and in total, until one reaches the store. The store
+# may be unavailable to many instances at once. If too few are asked, often none
+# can explain the failure, and an endpoint that left gets requests for the whole
+# grace period.
 PEERS_AT_ONCE = 2
-MAX_ASKED = 6
-# A store that is slow answers within half a second, from another region within
-# a tenth more.
-PROBE_S = 0.7
-# Failures come in pairs, one a followed table, and every call is paid for.
-SPACING_S = 0.5
+MAX_PEERS_ASKED = 6
+# A slow store answers within 0.5 s, and within 0.1 s more from another region.
+PROBE_TIMEOUT_S = 0.7
+# Failures come in pairs, one for each polled table, and every call is charged for.
+MIN_PROBE_INTERVAL_S = 0.5
 
 
 class StoreProbes:
-    """Has peers probe the store when it fails here, and probes it for them."""
+    """Asks peers to probe the store after a failure, and probes it for them."""
 
     def __init__(self, *, calls: PeerCalls, members: MemberBook, observation: Observation) -> None:
         self._calls = calls
@@ -47,19 +48,23 @@
         self._watch = observation.beliefs.store
 
     async def run(self) -> None:
-        """Ask after each failure until cancelled."""
+        """Ask peers after each failed call to the store until cancelled."""
         while True:
             await self._watch.failure()
             await self._ask_peers()
-            await anyio.sleep(SPACING_S)
+            await anyio.sleep(MIN_PROBE_INTERVAL_S)
 
     async def tell(self, _: Any) -> float | None:
-        """Return for how many seconds the store has served this instance."""
+        """Probe the store for a peer.
+
+        Return for how many seconds it has been available to this instance, or
+        ``None`` if it is not.
+        """
         if self._watch.is_failing:
             return None
         sent_at = anyio.current_time()
         answered = False
-        with anyio.move_on_after(PROBE_S):
+        with anyio.move_on_after(PROBE_TIMEOUT_S):
             answered = await self._probe()
         now = anyio.current_time()
         if not answered:
@@ -71,7 +76,7 @@
     async def _probe(self) -> bool:
         if await self._store.probe() is None:
             return True
-        # The store may have closed the kept connection that it went out on.
+        # The store may have closed the idle connection that the first probe used.
         return await self._store.probe() is None
 
     async def _ask_peers(self) -> None:
@@ -79,24 +84,25 @@
         while peers and self._watch.may_have_lapsed(anyio.current_time()):
             async with anyio.create_task_group() as tasks:
                 for member in peers[:PEERS_AT_ONCE]:
-                    tasks.start_soon(self._ask, member)
+                    tasks.start_soon(self._ask_peer, member)
             peers = peers[PEERS_AT_ONCE:]
 
     def _peers_to_ask(self) -> list[FleetMember]:
-        """Draw from those heard without a gap for the time of grace.
+        """Return random peers that have been up continuously for the grace period.
 
-        One from beyond a cut that has just healed was served all the while and
-        saw the rows of this side lapse, though their endpoints live. Those that
-        were last in touch with the store come first.
+        A peer from the other side of a network partition that has just healed had
+        access to the store all the time. It saw the rows of this side expire
+        although their endpoints are alive, so its answer would be misleading.
+        Peers that last reported to poll the store successfully come first.
         """
         now = anyio.current_time()
         up = self._members.up(now)
         known = [one for one in up if self._members.signs.up_for_s(one.name, now) >= LAPSE_GRACE_S]
-        drawn = random.sample(known, len(known))
-        drawn.sort(key=lambda one: self._members.signs.is_following(one.name), reverse=True)
-        return drawn[:MAX_ASKED]
+        candidates = random.sample(known, len(known))
+        candidates.sort(key=lambda one: self._members.signs.is_following(one.name), reverse=True)
+        return candidates[:MAX_PEERS_ASKED]
 
-    async def _ask(self, member: FleetMember) -> None:
+    async def _ask_peer(self, member: FleetMember) -> None:
         asked_at = anyio.current_time()
         served_s = await self._calls.call(member, PROBE_CALL, None)
         if not isinstance(served_s, float):
@@ -104,7 +110,7 @@
         now = anyio.current_time()
         self._watch.note_served_elsewhere(since=now - served_s, asked_at=asked_at)
         log.info(
-            'Store: it serves %s.',
+            'Store: available to %s.',
             member.name,
             extra={'kind': 'store_probe', 'fields': {'member': member.name}},
         )
