--- a/packages/node/src/plantainloft_node/entry/__init__.py
+++ b/packages/node/src/plantainloft_node/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: everything an entry instance runs, wired together."""
+"""The process of an entry instance: its settings, its components and how they are wired."""
--- a/packages/node/src/plantainloft_node/entry/instance_list.py
+++ b/packages/node/src/plantainloft_node/entry/instance_list.py
@@ -1,4 +1,4 @@
-"""The list of instances in the store: who started, and who is long gone."""
+"""Registration of entry instances in the store, and removal of those long gone."""
 
 import logging
 
@@ -11,62 +11,64 @@
 from plantainloft_node.placing.affinity import score
 from plantainloft_node.replica.news import INSTANCES, News, NewsRow, NewsStore
 
-__all__ = ['InstanceList']
+__all__ = ['InstanceRegistry']
 
 log = logging.getLogger(__name__)
 
-# The list is read anew this often by those who follow the store, and this often
-# by the others; those that run make themselves known by their beats.
-LIST_EVERY_S = 30.0
-RESTING_LIST_EVERY_S = 600.0
-LIST_RETRY_S = 1.0
+# How often the list is read by instances that poll the store, and by those that
+# delegate polling to relays. Running instances are also discovered by their
+# heartbeats, so the list need not be read often.
+LIST_INTERVAL_S = 30.0
+DELEGATED_LIST_INTERVAL_S = 600.0
+LIST_RETRY_DELAY_S = 1.0
 
 
-class InstanceList:
-    """Keeps this instance in the list, and strikes off those that are gone."""
+class InstanceRegistry:
+    """Keeps this instance registered and deregisters instances that are gone."""
 
     def __init__(self, *, members: MemberBook, store: NewsStore) -> None:
         self._members = members
         self._store = store
-        self._duty = StoreDuty(members=members)
+        self._polling = StoreDuty(members=members)
 
     async def run(self) -> None:
-        """Register, then read the list now and then until cancelled."""
+        """Register, then read the list at intervals until cancelled."""
         await self._register()
         while True:
             listed = await self._store.list_rows(INSTANCES)
             if isinstance(listed, Unreachable):
-                await anyio.sleep(LIST_RETRY_S)
+                await anyio.sleep(LIST_RETRY_DELAY_S)
                 continue
-            await self._take(listed)
-            rests = self._duty.rests(anyio.current_time())
-            await anyio.sleep(RESTING_LIST_EVERY_S if rests else LIST_EVERY_S)
+            await self._apply_listing(listed)
+            delegates = self._polling.rests(anyio.current_time())
+            await anyio.sleep(DELEGATED_LIST_INTERVAL_S if delegates else LIST_INTERVAL_S)
 
-    async def _take(self, listed: News) -> None:
+    async def _apply_listing(self, listed: News) -> None:
         now = anyio.current_time()
         row_by_name: dict[str, NewsRow] = {}
         for row in listed.rows:
-            member = _member(row)
+            member = _parse_member(row)
             if member is not None:
                 row_by_name[member.name] = row
                 self._members.learn(member, now)
         self._members.listed = True
         if self._members.me.name not in row_by_name:
-            # Taken for gone by the others after a long cut.
+            # After a long network partition its peers may have deregistered it.
             await self._register()
         gone = [name for name in row_by_name if self._members.is_gone(name, now)]
         for name in gone:
             await self._deregister(row_by_name[name], name)
         for name in self._members.forget_gone(now):
             log.info(
-                'Fleet: %s is forgotten.',
+                'Fleet: %s removed after a long silence.',
                 name,
                 extra={'kind': 'member', 'fields': {'member': name, 'up': False}},
             )
 
     async def _deregister(self, row: NewsRow, name: str) -> None:
-        # One instance does it, the same for all that know the same others;
-        # the row's version keeps it from striking off a new start.
+        # One instance does it: all that know the same peers choose the same one.
+        # The row is removed only if its version is unchanged, so an instance that
+        # has registered again after a restart stays registered.
         others = self._members.sharing(anyio.current_time())
         if max(others, key=lambda other: score(name, other)) == self._members.me.name:
             await self._store.remove_row(row)
@@ -77,14 +79,14 @@
             outcome = await self._store.put_row(INSTANCES, self._members.me.front, content)
             if outcome is None:
                 return
-            await anyio.sleep(LIST_RETRY_S)
+            await anyio.sleep(LIST_RETRY_DELAY_S)
 
 
-def _member(row: NewsRow) -> FleetMember | None:
+def _parse_member(row: NewsRow) -> FleetMember | None:
     if row.content is None:
         return None
     try:
         return FleetMember(*msgpack.unpackb(row.content))
     except (ValueError, TypeError, msgpack.UnpackException):
-        log.warning('Fleet: row %s is no instance.', row.key, extra={'kind': 'bad_row'})
+        log.warning('Fleet: row %s is not a valid instance.', row.key, extra={'kind': 'bad_row'})
         return None
--- a/packages/node/src/plantainloft_node/entry/lookups.py
+++ b/packages/node/src/plantainloft_node/entry/lookups.py
@@ -1,4 +1,4 @@
-"""Answers to those who ask where to connect, and whether we are ready."""
+"""Handlers of look-up requests and of the readiness check."""
 
 import json
 from abc import abstractmethod
@@ -12,48 +12,48 @@
 from plantainloft_node.engine.exchange import Exchange, Handler
 from plantainloft_node.fleet.members import FleetMember, MemberBook
 
-__all__ = ['LookupHandler', 'ReadyHandler', 'SmallHandler', 'front_addresses']
+__all__ = ['LocalHandler', 'LookupHandler', 'ReadyHandler', 'front_addresses']
 
 MAX_ADDRESSES = 64
-ENOUGH_IN_ZONE = 2
+MIN_ADDRESSES_IN_ZONE = 2
 JSON_TYPE = (b'content-type', b'application/json')
 _UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
 
 
-class SmallHandler(Handler):
-    """Answers small requests of its own, without forwarding."""
+class LocalHandler(Handler):
+    """Answers requests from this instance's own state, without forwarding them."""
 
     def limits(self) -> CallerLimits:
-        """Return the limits for such requests: the defaults."""
+        """Return the default limits."""
         return CallerLimits()
 
     def repeatable(self, exchange: Exchange) -> bool:
-        """Return that nothing is changed by such a request."""
+        """Return that the request has no side effects and may be repeated."""
         return True
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer with what ``reply`` returns."""
+        """Answer with the status and body that ``reply`` returns."""
         status, body = self.reply(exchange)
         await exchange.answer(status, [JSON_TYPE], body)
 
     @abstractmethod
     def reply(self, exchange: Exchange) -> tuple[int, bytes]:
-        """Return status and body."""
+        """Return the status and the JSON body of the response."""
 
 
-class ReadyHandler(SmallHandler):
-    """Says whether this instance may get callers."""
+class ReadyHandler(LocalHandler):
+    """Answers the readiness check."""
 
     def __init__(self, *, ready: Callable[[], bool]) -> None:
         self._ready = ready
 
     def reply(self, exchange: Exchange) -> tuple[int, bytes]:
-        """Return 200 or 503."""
+        """Return 200 if the instance is ready, else 503."""
         return (HTTPStatus.OK if self._ready() else _UNAVAILABLE), b'{}'
 
 
-class LookupHandler(SmallHandler):
-    """Names the entry instances that a caller should use."""
+class LookupHandler(LocalHandler):
+    """Answers look-ups with the addresses of the entry instances to connect to."""
 
     def __init__(
         self, *, members: MemberBook, ready: Callable[[], bool], ttl_s: Callable[[], float]
@@ -63,10 +63,10 @@
         self._ttl_s = ttl_s
 
     def reply(self, exchange: Exchange) -> tuple[int, bytes]:
-        """Return the addresses and for how long they hold."""
-        asked = parse_qs(exchange.query)
-        region = asked.get('region', [''])[0]
-        zone = asked.get('zone', [''])[0]
+        """Return the addresses and how long a caller may cache them."""
+        query = parse_qs(exchange.query)
+        region = query.get('region', [''])[0]
+        zone = query.get('zone', [''])[0]
         serving = self._members.serving(anyio.current_time())
         if self._ready():
             serving.append(self._members.me)
@@ -78,15 +78,17 @@
 
 
 def front_addresses(serving: list[FleetMember], *, region: str, zone: str) -> list[str]:
-    """Return the addresses to name to callers of ``region``, at most 64.
-
-    The caller's own zone, since bytes between zones are paid for; its
-    region where the zone has fewer than two, so that a caller whose
-    instance fails has another; all the others where nothing serves there,
-    so that one region's callers do not land on one instance.
+    """Return the addresses for callers in ``region`` and ``zone``, at most 64.
+
+    - The instances of the caller's zone, because traffic between zones is
+      charged for.
+    - If the zone has fewer than two, those of the caller's region, so that a
+      caller has an alternative when an instance fails.
+    - If the region has none, all instances, so that the callers of a region do
+      not all connect to the same one.
     """
-    near = [member for member in serving if member.region == region]
-    nearest = [member for member in near if member.zone == zone]
-    named = nearest if len(nearest) >= ENOUGH_IN_ZONE else near or serving
-    ordered = sorted(named, key=lambda member: (member.zone != zone, member.name))
+    in_region = [member for member in serving if member.region == region]
+    in_zone = [member for member in in_region if member.zone == zone]
+    selected = in_zone if len(in_zone) >= MIN_ADDRESSES_IN_ZONE else in_region or serving
+    ordered = sorted(selected, key=lambda member: (member.zone != zone, member.name))
     return [member.front for member in ordered[:MAX_ADDRESSES]]
--- a/packages/node/src/plantainloft_node/entry/metrics.py
+++ b/packages/node/src/plantainloft_node/entry/metrics.py
@@ -1,35 +1,35 @@
-"""Counters and latency histograms in the usual text exposition.
+"""Counters, gauges and latency histograms in the Prometheus text format.
 
-OpenTelemetry's SDK costs 12 MB and 0.21 s of processor time at start, on
-instances whose memory and restarts are paid for; these few lines are its
-nearest kin here.
+The OpenTelemetry SDK is not used because it needs 12 MB of memory and 0.21 s
+of CPU time at start, and memory and restarts of instances are charged for.
 """
 
 from collections import Counter
 
 __all__ = ['Metrics']
 
-# Upper bounds in seconds, closest around usual objectives and time-outs.
+# Upper bounds in seconds, closest together around common latency objectives and
+# timeouts.
 BUCKETS_S = (0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.8, 1.2, 2.5)
 
 
 class Metrics:
-    """Counts and durations by name and labels."""
+    """Counters, gauges and histograms by name and labels."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
         self._gauge_by_name: dict[str, float] = {}
 
-    def add(self, name: str, **labels: str) -> None:
-        """Count one event."""
+    def increment(self, name: str, **labels: str) -> None:
+        """Add one to a counter."""
         self._counts[_series(name, labels)] += 1
 
-    def put(self, name: str, reading: float, **labels: str) -> None:
+    def set_gauge(self, name: str, reading: float, **labels: str) -> None:
         """Set a gauge."""
         self._gauge_by_name[_series(name, labels)] = reading
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Add a duration to a histogram."""
+        """Record a duration in a histogram."""
         for bound in BUCKETS_S:
             if seconds <= bound:
                 self._counts[_series(f'{name}_bucket', {**labels, 'le': str(bound)})] += 1
@@ -37,7 +37,7 @@
         self._counts[_series(f'{name}_count', labels)] += 1
 
     def text(self) -> str:
-        """Return all series, one a line."""
+        """Return all series, one per line."""
         lines = [f'{series} {count}' for series, count in sorted(self._counts.items())]
         lines += [
             f'{series} {reading:g}' for series, reading in sorted(self._gauge_by_name.items())
--- a/packages/node/src/plantainloft_node/entry/operating.py
+++ b/packages/node/src/plantainloft_node/entry/operating.py
@@ -1,4 +1,4 @@
-"""The address for operators: metrics, shut-out requests, organisations."""
+"""HTTP endpoint for operators: metrics, quarantined requests and organisations."""
 
 import json
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 import anyio
 
 from plantainloft_node.engine.exchange import Exchange
-from plantainloft_node.entry.lookups import SmallHandler
+from plantainloft_node.entry.lookups import LocalHandler
 from plantainloft_node.limits.listing import ListedOrganisation
 from plantainloft_node.quarantine.fingerprints import parse_fingerprint
 from plantainloft_node.quarantine.quarantine import Quarantine
@@ -16,28 +16,29 @@
 __all__ = ['OperatorHandler']
 
 
-class OperatorHandler(SmallHandler):
+class OperatorHandler(LocalHandler):
     """Answers on the metrics address.
 
-    - ``GET /quarantine``: the requests that are shut out.
-    - ``POST /quarantine/lift?request=FINGERPRINT``: has one sent again.
-    - ``GET /organisations``: organisations, their limits and use.
-    - any other path: counters and histograms as text.
+    - ``GET /quarantine``: lists the quarantined requests.
+    - ``POST /quarantine/lift?request=FINGERPRINT``: releases a request from
+      quarantine.
+    - ``GET /organisations``: lists the organisations with their limits and usage.
+    - any other path: returns all metrics as text.
     """
 
     def __init__(
         self,
         *,
-        text: Callable[[], str],
+        metrics_text: Callable[[], str],
         quarantine: Quarantine,
         organisations: Callable[[], list[ListedOrganisation]],
     ) -> None:
-        self._text = text
+        self._metrics_text = metrics_text
         self._organisations = organisations
         self._quarantine = quarantine
 
     def reply(self, exchange: Exchange) -> tuple[int, bytes]:
-        """Return status and body."""
+        """Return the status and body of the response."""
         if exchange.path == '/quarantine':
             listed = self._quarantine.listing(anyio.current_time())
             return HTTPStatus.OK, json.dumps(listed).encode()
@@ -45,10 +46,10 @@
             return self._lift(parse_qs(exchange.query).get('request', [''])[0])
         if exchange.path == '/organisations':
             return HTTPStatus.OK, json.dumps(self._organisations()).encode()
-        return HTTPStatus.OK, self._text().encode()
+        return HTTPStatus.OK, self._metrics_text().encode()
 
-    def _lift(self, written: str) -> tuple[int, bytes]:
-        request = parse_fingerprint(written)
+    def _lift(self, raw: str) -> tuple[int, bytes]:
+        request = parse_fingerprint(raw)
         if request is None:
             return HTTPStatus.BAD_REQUEST, b'{"problem": "not a fingerprint"}'
         lifted = self._quarantine.lift(request, anyio.current_time())
--- a/packages/node/src/plantainloft_node/entry/report.py
+++ b/packages/node/src/plantainloft_node/entry/report.py
@@ -1,4 +1,4 @@
-"""The state of an instance as metrics, made when somebody asks."""
+"""Metrics of an instance, collected when they are requested."""
 
 import anyio
 
@@ -11,77 +11,78 @@
 from plantainloft_node.limits.listing import ListedOrganisation, list_organisations
 from plantainloft_node.placing.placement import Placement
 
-__all__ = ['Report']
+__all__ = ['MetricsReport']
 
-# Series of so many organisations are exposed.
-MAX_ORGANISATIONS = 50
+# Organisations with their own series, to bound the size of the output.
+MAX_ORGANISATION_SERIES = 50
 
 
-class Report:
-    """Counters kept while serving, and gauges read when asked."""
+class MetricsReport:
+    """Counts requests as they are answered, and reads gauges on demand."""
 
     def __init__(self, *, observation: Observation, members: MemberBook) -> None:
         self._observation = observation
         self._members = members
         self._metrics = Metrics()
-        # Set once it is built: it is built with what this report observes.
+        # Assigned after construction: the limiter is created along with components
+        # that need this report.
         self.limiter: RequestLimiter | None = None
 
     def observe(self, route: str, outcome: str, seconds: float) -> None:
-        """Count one answered request."""
-        self._metrics.add('requests', route=route, outcome=outcome)
+        """Record one answered request and its duration."""
+        self._metrics.increment('requests', route=route, outcome=outcome)
         self._metrics.observe('request_seconds', seconds, route=route)
 
     def text(self, front: Front, dispatcher: Dispatcher, placement: Placement) -> str:
-        """Return all series."""
+        """Update the gauges and return all series as text."""
         now = anyio.current_time()
         metrics = self._metrics
         beliefs = self._observation.beliefs
-        metrics.put('configuration_version', beliefs.table.version)
-        metrics.put('configuration_age_seconds', now - beliefs.table_since)
-        metrics.put('members_up', len(self._members.up(now)) + 1)
-        metrics.put('requests_in_progress', front.in_progress)
+        metrics.set_gauge('configuration_version', beliefs.table.version)
+        metrics.set_gauge('configuration_age_seconds', now - beliefs.table_since)
+        metrics.set_gauge('members_up', len(self._members.up(now)) + 1)
+        metrics.set_gauge('requests_in_progress', front.in_progress)
         for service, left in dispatcher.budgets_left(now).items():
-            metrics.put('retry_budget_left', left, service=service)
-        metrics.put('spilled_share', placement.spilled_share(now))
-        metrics.put('quarantined_requests', len(dispatcher.crashes.quarantined(now)))
-        self._put_observation(now)
-        self._put_organisations()
+            metrics.set_gauge('retry_budget_left', left, service=service)
+        metrics.set_gauge('spilled_share', placement.spilled_share(now))
+        metrics.set_gauge('quarantined_requests', len(dispatcher.crashes.quarantined(now)))
+        self._set_observation_gauges(now)
+        self._set_organisation_gauges()
         return metrics.text()
 
     def organisations(self) -> list[ListedOrganisation]:
-        """Return the organisations, and their use of their limits here."""
+        """Return the organisations with their usage of their limits at this instance."""
         if self.limiter is None:
             return []
         organisations = self._observation.beliefs.table.organisations
         usage_by_name = self.limiter.usage(organisations, anyio.current_time())
         return list_organisations(organisations, usage_by_name)
 
-    def _put_organisations(self) -> None:
-        """Set the gauges of the organisations that are asked for most."""
-        most_wanted = sorted(self.organisations(), key=lambda one: -one['fleet_wanted'])
-        for one in most_wanted[:MAX_ORGANISATIONS]:
+    def _set_organisation_gauges(self) -> None:
+        """Set the gauges of the organisations with the highest demand."""
+        by_demand = sorted(self.organisations(), key=lambda one: -one['fleet_wanted'])
+        for one in by_demand[:MAX_ORGANISATION_SERIES]:
             name = one['name']
-            self._metrics.put('organisation_share', one['share'], organisation=name)
-            self._metrics.put('organisation_used', one['used'], organisation=name)
-            self._metrics.put('organisation_refused', one['refused'], organisation=name)
-            self._metrics.put('organisation_fleet_used', one['fleet_used'], organisation=name)
+            self._metrics.set_gauge('organisation_share', one['share'], organisation=name)
+            self._metrics.set_gauge('organisation_used', one['used'], organisation=name)
+            self._metrics.set_gauge('organisation_refused', one['refused'], organisation=name)
+            self._metrics.set_gauge('organisation_fleet_used', one['fleet_used'], organisation=name)
 
-    def _put_observation(self, now: float) -> None:
+    def _set_observation_gauges(self, now: float) -> None:
         metrics = self._metrics
         for name, follower in self._observation.followers.items():
-            metrics.put('store_followed', follower.in_touch, table=name)
-            metrics.put('store_heard_seconds_ago', now - follower.heard_at, table=name)
+            metrics.set_gauge('store_followed', follower.in_touch, table=name)
+            metrics.set_gauge('store_heard_seconds_ago', now - follower.heard_at, table=name)
         for service, pace in self._observation.book.pace_by_service.items():
-            metrics.put('answer_seconds_usual', pace.usual_s, service=service)
-            metrics.put('silent_after_seconds', pace.silent_after_s, service=service)
+            metrics.set_gauge('answer_seconds_usual', pace.usual_s, service=service)
+            metrics.set_gauge('silent_after_seconds', pace.silent_after_s, service=service)
         for service, work in self._observation.book.work_by_service.items():
             remembered_s = work.expected_s(remembered=True)
-            metrics.put('work_seconds', remembered_s, service=service, object='remembered')
+            metrics.set_gauge('work_seconds', remembered_s, service=service, object='remembered')
             new_s = work.expected_s(remembered=False)
-            metrics.put('work_seconds', new_s, service=service, object='new')
+            metrics.set_gauge('work_seconds', new_s, service=service, object='new')
         for zone, round_trip_s in self._observation.book.distances.by_zone().items():
-            metrics.put('round_trip_seconds', round_trip_s, zone=zone)
+            metrics.set_gauge('round_trip_seconds', round_trip_s, zone=zone)
         for service, counts in self._observation.book.summary(now).items():
             for state, count in counts.items():
-                metrics.put('endpoints', count, service=service, state=state)
+                metrics.set_gauge('endpoints', count, service=service, state=state)
--- a/packages/node/src/plantainloft_node/entry/serving.py
+++ b/packages/node/src/plantainloft_node/entry/serving.py
@@ -1,4 +1,4 @@
-"""The parts that answer callers, put together."""
+"""The components that process callers' requests, and how they are wired."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 from plantainloft_node.engine.pool import LinkPool
 from plantainloft_node.engine.sender import Sender
 from plantainloft_node.entry.observing import Observation
-from plantainloft_node.entry.report import Report
+from plantainloft_node.entry.report import MetricsReport
 from plantainloft_node.entry.settings import EntrySettings
 from plantainloft_node.entry.terms import limit_terms, placement_terms, retry_terms
 from plantainloft_node.limits.limiter import RequestLimiter
@@ -16,11 +16,11 @@
 from plantainloft_node.quarantine.crash_checks import CrashChecks, EndpointRun
 from plantainloft_node.quarantine.quarantine import Quarantine
 
-__all__ = ['Serving', 'build_serving']
+__all__ = ['RequestPipeline', 'build_request_pipeline']
 
 
-class Serving(NamedTuple):
-    """Decides, sends and answers."""
+class RequestPipeline(NamedTuple):
+    """The components that place, send and answer requests."""
 
     placement: Placement
     pool: LinkPool
@@ -29,22 +29,22 @@
     crash_checks: CrashChecks
     limiter: RequestLimiter
 
-    def take_settings(self, settings: EntrySettings) -> None:
-        """Take bounds that have changed."""
+    def apply_settings(self, settings: EntrySettings) -> None:
+        """Apply the limits of reloaded settings."""
         self.placement.terms = placement_terms(settings)
         self.dispatcher.retries = retry_terms(settings)
         self.limiter.terms = limit_terms(settings)
 
 
-def build_serving(
+def build_request_pipeline(
     *,
     settings: EntrySettings,
     names: HeaderNames,
     observation: Observation,
-    report: Report,
+    report: MetricsReport,
     quarantine: Quarantine,
-) -> Serving:
-    """Return the parts that answer callers by what ``observation`` believes."""
+) -> RequestPipeline:
+    """Return the components that process requests, based on the state in ``observation``."""
     placement = Placement(terms=placement_terms(settings), book=observation.book)
     pool = LinkPool()
 
@@ -69,4 +69,4 @@
         table=lambda: observation.beliefs.table,
         observe=report.observe,
     )
-    return Serving(placement, pool, dispatcher, front, crash_checks, limiter)
+    return RequestPipeline(placement, pool, dispatcher, front, crash_checks, limiter)
--- a/packages/node/src/plantainloft_node/entry/terms.py
+++ b/packages/node/src/plantainloft_node/entry/terms.py
@@ -1,4 +1,4 @@
-"""The parts' terms, taken from the settings."""
+"""Parameters of the individual components, derived from the settings."""
 
 import time
 
@@ -8,36 +8,44 @@
 from plantainloft_node.limits.limiter import LimitTerms
 from plantainloft_node.placing.placement import PlacementTerms
 
-__all__ = ['TICK_S', 'limit_terms', 'own_member', 'placement_terms', 'retry_terms', 'seed_peers']
+__all__ = [
+    'TICK_S',
+    'limit_terms',
+    'local_member',
+    'placement_terms',
+    'retry_terms',
+    'seed_addresses',
+]
 
-# Beliefs that time changes (ejections, regions' shares) are looked at this
-# often.
+# Interval at which state that changes with time (ejections, shares of regions) is
+# updated.
 TICK_S = 0.25
-MS = 1000.0
-# Traffic is judged by windows of this length. Of the cap on what may move
-# from one to the next, planned moves use this part, and the fall of the
-# spills after a start that part; the remainder is for chance in windows of
-# a few hundred requests, and for callers who move by themselves.
+MS_PER_S = 1000.0
+# Shifts of traffic are measured between successive windows of this length. Of the
+# permitted shift, planned moves may use PLANNED_SHARE, and the decrease of
+# spilled requests after a start SPILLED_SHARE. The remainder covers random
+# variation in windows of a few hundred requests, and callers that move by
+# themselves.
 SHIFT_WINDOW_S = 2.0
-PLANNED_PART = 0.5
-SPILLED_PART = 0.4
+PLANNED_SHARE = 0.5
+SPILLED_SHARE = 0.4
 
 
 def placement_terms(settings: EntrySettings) -> PlacementTerms:
-    """Return the bounds that placement keeps."""
+    """Return the limits that placement observes."""
     return PlacementTerms(
         region=settings.region,
         instance=settings.name,
         cold_over=settings.cold_over,
         cold_slack=settings.cold_slack,
-        shift_step=settings.max_shift * PLANNED_PART * TICK_S / SHIFT_WINDOW_S,
-        spill_step=settings.max_shift * SPILLED_PART,
+        shift_step=settings.max_shift * PLANNED_SHARE * TICK_S / SHIFT_WINDOW_S,
+        spill_step=settings.max_shift * SPILLED_SHARE,
         shift_window_s=SHIFT_WINDOW_S,
     )
 
 
 def retry_terms(settings: EntrySettings) -> RetryTerms:
-    """Return the bounds on repeats."""
+    """Return the limits on retries."""
     return RetryTerms(
         ratio=settings.retry_ratio,
         extra=settings.retry_extra,
@@ -46,7 +54,7 @@
 
 
 def limit_terms(settings: EntrySettings) -> LimitTerms:
-    """Return how the limits of organisations are counted."""
+    """Return how the request limits of organisations are enforced."""
     return LimitTerms(
         window_s=settings.limit_window_s,
         over=settings.limit_over,
@@ -54,11 +62,11 @@
     )
 
 
-def own_member(settings: EntrySettings) -> FleetMember:
-    """Return this instance as the others know it, numbered by its start."""
+def local_member(settings: EntrySettings) -> FleetMember:
+    """Return this instance's entry in the member list; its start time is the incarnation."""
     return FleetMember(
         name=settings.name,
-        incarnation=int(time.time() * MS),
+        incarnation=int(time.time() * MS_PER_S),
         region=settings.region,
         zone=settings.zone,
         front=settings.front,
@@ -66,7 +74,7 @@
     )
 
 
-def seed_peers(settings: EntrySettings) -> tuple[str, ...]:
-    """Return the addresses for beats of the instances in the settings."""
+def seed_addresses(settings: EntrySettings) -> tuple[str, ...]:
+    """Return the heartbeat addresses of the seed instances in the settings."""
     hosts = (seed.rpartition(':')[0] for seed in settings.seeds)
     return tuple(f'{host}:{settings.peer_port}' for host in hosts)
--- a/packages/node/src/plantainloft_node/entry/upkeep.py
+++ b/packages/node/src/plantainloft_node/entry/upkeep.py
@@ -1,9 +1,9 @@
-"""Beliefs that change with time rather than with news."""
+"""Periodic updates of state that changes with time, not only with row changes."""
 
 import anyio
 
 from plantainloft_node.entry.observing import Observation
-from plantainloft_node.entry.serving import Serving
+from plantainloft_node.entry.serving import RequestPipeline
 from plantainloft_node.entry.terms import TICK_S
 from plantainloft_node.fleet.demand import (
     demand_of_zones,
@@ -14,36 +14,36 @@
 from plantainloft_node.fleet.members import MemberBook
 from plantainloft_node.placing.demand import RegionDemand, demand_by_region
 
-__all__ = ['Upkeep']
+__all__ = ['PeriodicUpdates']
 
 
-class Upkeep:
-    """Renews shares, ejections and the list of instances at each tick."""
+class PeriodicUpdates:
+    """Updates shares, ejections, limits and the list of instances at a fixed interval."""
 
     def __init__(
         self,
         *,
         observation: Observation,
         members: MemberBook,
-        serving: Serving,
+        pipeline: RequestPipeline,
     ) -> None:
         self._observation = observation
         self._members = members
-        self._placement = serving.placement
-        self._demand = serving.dispatcher.demand
-        self._pool = serving.pool
-        self._crashes = serving.dispatcher.crashes
-        self._limiter = serving.limiter
+        self._placement = pipeline.placement
+        self._demand = pipeline.dispatcher.demand
+        self._pool = pipeline.pool
+        self._crashes = pipeline.dispatcher.crashes
+        self._limiter = pipeline.limiter
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Update until cancelled."""
         while True:
-            self.tick(anyio.current_time())
+            self.update(anyio.current_time())
             await self._pool.keep_only(self._observation.book.incarnations())
             await anyio.sleep(TICK_S)
 
-    def tick(self, now: float) -> None:
-        """Renew what time has changed by ``now``."""
+    def update(self, now: float) -> None:
+        """Update everything that depends on the current time."""
         self._observation.beliefs.tick(now)
         self._placement.update_instances(self._members.sharing(now))
         self._placement.update_ejections(now)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,16 +1,16 @@
-"""Endpoints whose rows go while the store is in trouble, or just after it.
-
-A row that goes may have lapsed because its endpoint could not reach the store
-either; then the endpoint lives, is listed again about two seconds after the
-store's return, and must be used on. Or the endpoint leaves, and must get
-nothing more than 2.5 s after its row went.
-
-Users saw: requests reached an endpoint up to 2.65 s after its row had been
-removed, 4 s and more after an outage of the store. Evidence: the logs of one
-such day have all instances hear of the removal within 10 ms from the store or
-0.35 s later from a peer; the endpoint got requests until 2.35 s after, and
-2.3 s is how long a row is taken for lapsed, counted from hearing. Without that
-time none of three trials broke the rule, with it five of eighteen.
+"""Rows of endpoints that disappear during or just after an outage of the store.
+
+A row may have expired because its endpoint could not reach the store either.
+Then the endpoint is alive, is listed again about 2 s after the store recovers,
+and must be kept in use. Or the endpoint has left, and must get no requests more
+than 2.5 s after its row was removed.
+
+These tests guard against requests that reached an endpoint up to 2.65 s after
+the removal of its row, 4 s or more after an outage. All instances learned of the
+removal within 10 ms from the store, or 0.35 s later from a peer. The endpoint
+still got requests for up to 2.35 s, because a missing row was treated as expired
+for 2.3 s from the moment of learning of it. Without that grace period the rule
+was broken in none of three runs, with it in five of eighteen.
 """
 
 import itertools
@@ -29,7 +29,7 @@
 from plantainloft_node.entry.settings import parse_entry_settings
 from plantainloft_node.entry.sharing import NEWS_CALL, NewsSharing
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
-from plantainloft_node.entry.terms import own_member
+from plantainloft_node.entry.terms import local_member
 from plantainloft_node.fleet.members import Beat, MemberBook
 from plantainloft_node.replica.news import (
     DECLARATIONS,
@@ -45,29 +45,29 @@
 
 pytestmark = pytest.mark.anyio
 
-REFUSED = Unreachable(reason='503')
-# How long a row that went may count as lapsed.
-LAPSE_S = 2.3
+FAILED = Unreachable(reason='503')
+# How long a missing row may be treated as expired, with its endpoint kept in use.
+EXPIRY_GRACE_S = 2.3
 Outcome = News | HistoryLost | Unreachable
 NOW = 1000.0
-# Listeners of an earlier test may still have its addresses.
+# Each instance gets its own host: listeners of an earlier test may still be bound.
 HOSTS = itertools.count(100)
 
 
 class ScriptedStore(NewsStore):
-    """Answers each call when the test says so, in the order it says."""
+    """Answers the calls for each table with scripted outcomes, in their order."""
 
     def __init__(self) -> None:
         self.calls_by_table = {DECLARATIONS: 0, ENDPOINTS: 0}
-        # Whether it fails small calls that bring no news.
-        self.away = False
-        self._said_by_table = {
+        # Whether probes fail; they are not scripted.
+        self.is_probe_failing = False
+        self._scripted_by_table = {
             table: anyio.create_memory_object_stream[Outcome](16) for table in self.calls_by_table
         }
 
-    def say(self, table: str, *outcomes: Outcome) -> None:
+    def script(self, table: str, *outcomes: Outcome) -> None:
         for outcome in outcomes:
-            self._said_by_table[table][0].send_nowait(outcome)
+            self._scripted_by_table[table][0].send_nowait(outcome)
 
     async def list_rows(self, table: str) -> News | Unreachable:
         if table not in self.calls_by_table:
@@ -89,46 +89,46 @@
         return False
 
     async def probe(self) -> Unreachable | None:
-        return REFUSED if self.away else None
+        return FAILED if self.is_probe_failing else None
 
     def decode(self, row: NewsRow) -> Change | Invalid | None:
         return decode_row(row)
 
     async def _next(self, table: str) -> Outcome:
         self.calls_by_table[table] += 1
-        return await self._said_by_table[table][1].receive()
+        return await self._scripted_by_table[table][1].receive()
 
 
 class Instance(NamedTuple):
-    """The observing half of an entry instance."""
+    """The parts of an entry instance that replicate rows, without request handling."""
 
     store: ScriptedStore
     members: MemberBook
     observation: Observation
     sharing: NewsSharing
 
-    def uses(self, endpoint_id: str) -> bool:
+    def is_using(self, endpoint_id: str) -> bool:
         return endpoint_id in self.observation.book.by_id
 
-    def knows_gone(self, endpoint_id: str) -> bool:
+    def has_deletion(self, endpoint_id: str) -> bool:
         row = self.observation.rows.row_by_key.get((ENDPOINTS, endpoint_id))
         return row is not None and row.content is None
 
-    def beat(self) -> Beat:
+    def heartbeat(self) -> Beat:
         return Beat(self.members.me, True, False, self.observation.rows.newest_by_table, {})
 
 
-def listed(key: str, version: int) -> NewsRow:
+def listed_row(key: str, version: int) -> NewsRow:
     content = json.dumps(endpoint_row('127.0.0.1:1')).encode()
     return NewsRow(ENDPOINTS, key, version, content)
 
 
-def gone(key: str, version: int) -> NewsRow:
+def deleted_row(key: str, version: int) -> NewsRow:
     return NewsRow(ENDPOINTS, key, version, None)
 
 
-LISTING = News((listed('i-1', 1), listed('i-2', 2)), 2)
-LEFT = News((gone('i-1', 3),), 3)
+INITIAL_LISTING = News((listed_row('i-1', 1), listed_row('i-2', 2)), 2)
+REMOVAL = News((deleted_row('i-1', 3),), 3)
 
 
 async def until(probe: Callable[[], bool]) -> None:
@@ -144,7 +144,7 @@
     settings = parse_entry_settings(text)
     assert not isinstance(settings, Invalid)
     store = ScriptedStore()
-    members = MemberBook(me=own_member(settings))
+    members = MemberBook(me=local_member(settings))
     observation = Observation(
         store=store, region_by_zone=settings.region_by_zone, wait_s=lambda: 4.0
     )
@@ -155,7 +155,7 @@
         tasks.start_soon(calls.serve, {NEWS_CALL: sharing.tell, PROBE_CALL: probes.tell})
         for part in (*observation.followers.values(), probes):
             tasks.start_soon(part.run)
-        store.say(ENDPOINTS, LISTING)
+        store.script(ENDPOINTS, INITIAL_LISTING)
         await until(lambda: len(observation.book.by_id) == 2)
         yield Instance(store, members, observation, sharing)
         tasks.cancel_scope.cancel()
@@ -166,172 +166,173 @@
 
 @pytest.fixture
 async def pair() -> AsyncIterator[Pair]:
-    """Two instances that hear each other and know the same two endpoints."""
+    """Two instances that receive each other's heartbeats and use the same two endpoints."""
     async with AsyncExitStack() as stack:
         first = await stack.enter_async_context(running_instance(next(HOSTS)))
         second = await stack.enter_async_context(running_instance(next(HOSTS)))
-        hear_each_other(first, second, for_s=LAPSE_S + 0.1)
+        exchange_heartbeats(first, second, for_s=EXPIRY_GRACE_S + 0.1)
         yield first, second
 
 
-def hear_each_other(first: Instance, second: Instance, *, for_s: float) -> None:
-    """Let each have heard the other's beats for so long."""
+def exchange_heartbeats(first: Instance, second: Instance, *, for_s: float) -> None:
+    """Record that each has received the other's heartbeats for ``for_s`` seconds."""
     now = anyio.current_time()
     for at in (now - for_s, now - for_s / 2, now):
-        first.members.hear(second.beat(), at)
-        second.members.hear(first.beat(), at)
+        first.members.hear(second.heartbeat(), at)
+        second.members.hear(first.heartbeat(), at)
 
 
-async def fail_a_poll(instance: Instance) -> None:
-    """Let the poll of endpoints fail that waits, and wait for the next one."""
+async def fail_poll(instance: Instance) -> None:
+    """Fail the pending poll of endpoints, and wait until the next one is sent."""
     calls = instance.store.calls_by_table[ENDPOINTS]
-    instance.store.say(ENDPOINTS, REFUSED)
+    instance.store.script(ENDPOINTS, FAILED)
     await until(lambda: instance.store.calls_by_table[ENDPOINTS] == calls + 1)
 
 
-async def test_an_instance_that_the_store_refuses_believes_the_peer_that_it_serves(
+async def test_an_instance_without_the_store_trusts_a_peer_that_reaches_it(
     pair: Pair,
 ) -> None:
-    """Symptom: one instance sends requests to an endpoint that left 2.6 s ago.
+    """Regression test: one instance sent requests to an endpoint that left 2.6 s before.
 
-    The store refuses one instance and serves the other, which hears of the
-    removal and drops the endpoint. The first hears of it from the second, a
-    moment after its own call failed, takes the row for lapsed, and uses the
-    endpoint for 2.3 s more.
+    The store is unavailable to one instance only. The other one learns of the
+    removal and drops the endpoint. The first learns of it from the second, just
+    after a failed call of its own, takes the row for expired, and keeps using the
+    endpoint for 2.3 s.
     """
-    refused, served = pair
-    await fail_a_poll(refused)
-    served.store.say(ENDPOINTS, LEFT)
-    await until(lambda: not served.uses('i-1'))
-    refused.sharing.on_beat(served.beat())
-    await until(lambda: refused.knows_gone('i-1'))
-    assert not refused.uses('i-1')
-    assert refused.uses('i-2')
-
-
-async def test_an_instance_in_doubt_asks_the_peers(pair: Pair) -> None:
-    """Symptom: as above, at an instance that hears from the store itself.
-
-    Its call failed, the next one brings the removal at once, so the endpoint
-    may have lapsed. No peer knows a newer row, so none is asked, though the
-    one that was served all the time knows that nothing lapsed.
+    without_store, with_store = pair
+    await fail_poll(without_store)
+    with_store.store.script(ENDPOINTS, REMOVAL)
+    await until(lambda: not with_store.is_using('i-1'))
+    without_store.sharing.on_beat(with_store.heartbeat())
+    await until(lambda: without_store.has_deletion('i-1'))
+    assert not without_store.is_using('i-1')
+    assert without_store.is_using('i-2')
+
+
+async def test_after_a_failed_poll_an_instance_asks_its_peers(pair: Pair) -> None:
+    """Regression test: as above, but the instance learns of the removal from the store.
+
+    Its call failed and the next one returns the removal at once, so the row may
+    have expired. No peer has a newer row, so none was asked, although a peer with
+    continuous access to the store knows that no row expired.
     """
-    refused, served = pair
-    await fail_a_poll(refused)
+    without_store, with_store = pair
+    await fail_poll(without_store)
     for instance in pair:
-        instance.store.say(ENDPOINTS, LEFT)
-        await until(lambda instance=instance: instance.knows_gone('i-1'))  # type: ignore[misc]
-    assert not served.uses('i-1')
-    refused.sharing.on_beat(served.beat())
-    await until(lambda: not refused.uses('i-1'))
+        instance.store.script(ENDPOINTS, REMOVAL)
+        await until(lambda instance=instance: instance.has_deletion('i-1'))  # type: ignore[misc]
+    assert not with_store.is_using('i-1')
+    without_store.sharing.on_beat(with_store.heartbeat())
+    await until(lambda: not without_store.is_using('i-1'))
 
 
-async def test_a_swallowed_poll_that_ends_late_is_no_new_trouble(pair: Pair) -> None:
-    """Symptom: as above, at all instances, seconds after an outage.
+async def test_a_lost_poll_that_times_out_late_is_no_new_outage(pair: Pair) -> None:
+    """Regression test: as above, at all instances, seconds after an outage.
 
-    A silent store swallows a poll of the declarations. It is given up 5.2 s
-    later, when the store has long been back and has held a poll of the
-    endpoints ever since. That one brings the removal a moment after, which is
-    taken for a lapse by the failure just seen.
+    A poll of the declarations is never answered and times out after 5.2 s. By
+    then the store has long recovered and has held a poll of the endpoints since.
+    That poll returns the removal just after the timeout, which made the row look
+    expired.
     """
     instance, _ = pair
     await until(lambda: instance.store.calls_by_table[DECLARATIONS] == 1)
-    await fail_a_poll(instance)
-    await anyio.sleep(LAPSE_S + 0.1)
-    instance.store.say(DECLARATIONS, REFUSED)
+    await fail_poll(instance)
+    await anyio.sleep(EXPIRY_GRACE_S + 0.1)
+    instance.store.script(DECLARATIONS, FAILED)
     await until(lambda: instance.store.calls_by_table[DECLARATIONS] == 2)
-    instance.store.say(ENDPOINTS, LEFT)
-    await until(lambda: instance.knows_gone('i-1'))
-    assert not instance.uses('i-1')
+    instance.store.script(ENDPOINTS, REMOVAL)
+    await until(lambda: instance.has_deletion('i-1'))
+    assert not instance.is_using('i-1')
 
 
-async def test_rows_that_lapsed_are_used_on_by_all_that_were_in_trouble(pair: Pair) -> None:
-    """Symptom: no endpoint left for two seconds after an outage of the store.
+async def test_endpoints_with_expired_rows_are_kept_by_all_that_saw_the_outage(pair: Pair) -> None:
+    """Regression test: no endpoint was usable for 2 s after an outage of the store.
 
-    Both instances are in doubt. Asked by the other, each would name the
-    endpoint gone if it went by the row alone.
+    Neither instance knows whether the row expired. If they answered each other
+    from the row alone, each would report that the endpoint had left.
     """
     for instance in pair:
-        instance.store.away = True
+        instance.store.is_probe_failing = True
     for instance in pair:
-        await fail_a_poll(instance)
-        instance.store.say(ENDPOINTS, LEFT)
-        await until(lambda instance=instance: instance.knows_gone('i-1'))  # type: ignore[misc]
+        await fail_poll(instance)
+        instance.store.script(ENDPOINTS, REMOVAL)
+        await until(lambda instance=instance: instance.has_deletion('i-1'))  # type: ignore[misc]
     first, second = pair
-    first.sharing.on_beat(second.beat())
-    second.sharing.on_beat(first.beat())
+    first.sharing.on_beat(second.heartbeat())
+    second.sharing.on_beat(first.heartbeat())
     await anyio.sleep(0.8)
-    assert first.uses('i-1') and second.uses('i-1')
+    assert first.is_using('i-1') and second.is_using('i-1')
 
 
-async def test_a_peer_from_beyond_a_cut_that_has_just_healed_is_not_believed() -> None:
-    """Symptom: a region has no endpoint left when it is joined to the others again.
+async def test_a_peer_from_across_a_just_healed_partition_is_not_trusted() -> None:
+    """Regression test: a region had no usable endpoint after a partition healed.
 
-    Cut off from the store, its endpoints could not renew their rows, which
-    lapsed. The peers on the other side were served all the while and know the
-    rows to be gone. They are the first to tell the instances of the region,
-    whose endpoints live and reach them, and are listed again 2 s later.
+    Its endpoints could not reach the store, so their rows expired. Peers on the
+    other side had access to the store all the time and know the rows as removed.
+    They are the first to inform the instances of the region, whose endpoints are
+    alive and reachable, and listed again 2 s later.
     """
     async with AsyncExitStack() as stack:
-        cut_off = await stack.enter_async_context(running_instance(next(HOSTS)))
-        beyond = await stack.enter_async_context(running_instance(next(HOSTS)))
-        await fail_a_poll(cut_off)
-        beyond.store.say(ENDPOINTS, LEFT)
-        await until(lambda: not beyond.uses('i-1'))
-        hear_each_other(cut_off, beyond, for_s=0.0)
-        cut_off.sharing.on_beat(beyond.beat())
-        await until(lambda: cut_off.knows_gone('i-1'))
-        cut_off.sharing.on_beat(beyond.beat())
+        isolated = await stack.enter_async_context(running_instance(next(HOSTS)))
+        across = await stack.enter_async_context(running_instance(next(HOSTS)))
+        await fail_poll(isolated)
+        across.store.script(ENDPOINTS, REMOVAL)
+        await until(lambda: not across.is_using('i-1'))
+        exchange_heartbeats(isolated, across, for_s=0.0)
+        isolated.sharing.on_beat(across.heartbeat())
+        await until(lambda: isolated.has_deletion('i-1'))
+        isolated.sharing.on_beat(across.heartbeat())
         await anyio.sleep(0.8)
-        assert cut_off.uses('i-1')
+        assert isolated.is_using('i-1')
 
 
-async def test_an_instance_whose_polls_were_swallowed_learns_of_the_outage(pair: Pair) -> None:
-    """Symptom: an instance drops all endpoints after an outage of the store.
+async def test_an_instance_with_lost_polls_learns_of_the_outage_from_a_peer(pair: Pair) -> None:
+    """Regression test: an instance dropped all endpoints after an outage of the store.
 
-    Its polls were sent just before the outage and swallowed, and are not given
-    up yet when a peer, which knows of the outage, hands on the rows that lapsed.
+    Its polls were sent just before the outage and never answered. They have not
+    timed out yet when a peer, which knows of the outage, sends the removal of the
+    expired rows.
     """
     unaware, aware = pair
     for instance in pair:
-        instance.store.away = True
-    await fail_a_poll(aware)
-    aware.store.say(ENDPOINTS, LEFT)
-    await until(lambda: aware.knows_gone('i-1'))
-    unaware.sharing.on_beat(aware.beat())
-    await until(lambda: unaware.knows_gone('i-1'))
-    assert unaware.uses('i-1') and aware.uses('i-1')
-
-
-def test_a_poll_held_through_an_outage_shows_nothing_of_its_time() -> None:
-    """Symptom: no endpoint left after an outage of three seconds.
-
-    One poll is swallowed by the outage, another waits from before it to its
-    end and brings the rows that lapsed meanwhile. Taken as service since it
-    was sent, it would make them look like endpoints that left. (Seen in a whole
-    day: ten of twelve instances dropped two endpoints at once.)
+        instance.store.is_probe_failing = True
+    await fail_poll(aware)
+    aware.store.script(ENDPOINTS, REMOVAL)
+    await until(lambda: aware.has_deletion('i-1'))
+    unaware.sharing.on_beat(aware.heartbeat())
+    await until(lambda: unaware.has_deletion('i-1'))
+    assert unaware.is_using('i-1') and aware.is_using('i-1')
+
+
+def test_a_poll_held_through_an_outage_is_no_proof_of_availability() -> None:
+    """Regression test: no endpoint was usable after an outage of 3 s.
+
+    One poll is lost in the outage. Another is open from before the outage to its
+    end, and returns the rows that expired meanwhile. If its answer proved that the
+    store was available since it was sent, the endpoints would seem to have left.
+    In the run of a whole day, ten of twelve instances dropped two endpoints at once.
     """
     watch = StoreWatch()
     watch.note_failed(due_at=NOW + 0.3)
     watch.note_answered(sent_at=NOW - 0.7, now=NOW + 3.2)
     assert watch.may_have_lapsed(NOW + 3.2)
-    assert not watch.may_have_lapsed(NOW + 3.3 + LAPSE_S)
+    assert not watch.may_have_lapsed(NOW + 3.3 + EXPIRY_GRACE_S)
 
 
 def test_a_failure_noticed_late_counts_from_when_the_answer_was_due() -> None:
-    """Symptom: an endpoint that leaves after an outage is used on too long.
+    """Regression test: an endpoint that left after an outage was used too long.
 
-    The swallowed poll is given up two seconds after the store's return, which
-    another poll, sent and answered meanwhile, has shown.
+    The lost poll times out 2 s after the store recovered, which an answer to
+    another poll has shown in the meantime.
     """
     watch = StoreWatch()
     watch.note_answered(sent_at=NOW + 1, now=NOW + 1)
     watch.note_failed(due_at=NOW)
     assert watch.may_have_lapsed(NOW + 3)
-    assert not watch.may_have_lapsed(NOW + 1.1 + LAPSE_S)
+    assert not watch.may_have_lapsed(NOW + 1.1 + EXPIRY_GRACE_S)
 
 
-def test_a_peers_word_does_not_explain_a_later_failure() -> None:
+def test_a_peers_answer_does_not_explain_a_later_failure() -> None:
     watch = StoreWatch()
     watch.note_failed(due_at=NOW)
     watch.note_served_elsewhere(since=NOW - 60, asked_at=NOW + 0.1)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come in series and overlap, sent to real entry processes."""
+"""Repeated and overlapping signals sent to real entry processes."""
 
 import signal
 
@@ -11,56 +11,58 @@
 
 
 @pytest.mark.parametrize('second_signal', [signal.SIGTERM, signal.SIGHUP])
-async def test_another_signal_during_the_stop_cuts_nothing(
+async def test_another_signal_during_shutdown_interrupts_no_request(
     deployment: EntryDeployment, second_signal: signal.Signals
 ) -> None:
-    """Symptom: callers' connections end without an answer around a stop.
+    """Regression test: connections were closed without a response during shutdown.
 
-    A stop has begun and a request is under way; the platform sends SIGTERM
-    once more, or SIGHUP since the settings changed. The handlers were gone
-    once the stop had begun, and either signal ended the process at once.
+    While a request is in progress during shutdown, the platform sends SIGTERM
+    again, or SIGHUP because the settings changed. The signal handlers had been
+    removed when shutdown started, so either signal ended the process at once.
     """
-    first, leaving = deployment.entries
+    first, stopping = deployment.entries
     await until(lambda: named(first), 2)
     answers: list[bytes] = []
 
-    async def slow(talk: Conversation) -> None:
-        await talk.request()
+    async def answer_slowly(conversation: Conversation) -> None:
+        await conversation.request()
         await anyio.sleep(1.0)
-        await talk.say(SIGNED)
+        await conversation.say(SIGNED)
 
-    async def ask() -> None:
-        answers.append(await call(leaving.front, '/notices/1'))
+    async def send_request() -> None:
+        answers.append(await call(stopping.front, '/notices/1'))
 
-    async def arrived() -> int:
+    async def requests_received() -> int:
         return len(deployment.endpoints[0].requests)
 
-    deployment.endpoints[0].script = slow
+    deployment.endpoints[0].script = answer_slowly
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(ask)
-        await until(arrived, 1)
-        leaving.signal(signal.SIGTERM)
-        await until(lambda: leaving.status_of(leaving.ready, '/v1/ready'), 503)
-        leaving.signal(second_signal)
+        tasks.start_soon(send_request)
+        await until(requests_received, 1)
+        stopping.signal(signal.SIGTERM)
+        await until(lambda: stopping.status_of(stopping.ready, '/v1/ready'), 503)
+        stopping.signal(second_signal)
     assert answers[0].startswith(b'HTTP/1.1 200')
-    assert await leaving.ended() == 0
+    assert await stopping.ended() == 0
 
 
-async def test_a_reload_during_the_start_ends_nothing(deployment: EntryDeployment) -> None:
-    """Symptom: a process ends by itself right after its start.
+async def test_a_reload_signal_during_startup_does_not_end_the_process(
+    deployment: EntryDeployment,
+) -> None:
+    """Regression test: a process ended right after its start.
 
-    Settings change while an instance starts. Until its handler stood,
-    SIGHUP had its default effect, which ends the process.
+    The settings change while the instance starts. Until its handler was
+    installed, SIGHUP had its default effect, which ends the process.
     """
     entry = deployment.entries[0]
     entry.kill()
     entry._log = entry.log_path.open('wb')
     entry.start()
 
-    async def holds_reloads_back() -> bool:
+    async def blocks_reload_signal() -> bool:
         return entry.blocks(signal.SIGHUP)
 
-    await until(holds_reloads_back, True)
+    await until(blocks_reload_signal, True)
     assert not entry.lines()
     for _ in range(20):
         entry.signal(signal.SIGHUP)
