--- a/packages/node/src/plantainloft_node/__init__.py
+++ b/packages/node/src/plantainloft_node/__init__.py
@@ -1,1 +1,1 @@
-"""The plantainloft entry instance: look-ups, forwarding, membership."""
+"""The plantainloft entry instance: look-ups, request forwarding and membership."""
--- a/packages/node/src/plantainloft_node/__main__.py
+++ b/packages/node/src/plantainloft_node/__main__.py
@@ -1,4 +1,4 @@
-"""Run the ``plantainloft`` binary as ``python -m plantainloft_node``."""
+"""Run the ``plantainloft`` command as ``python -m plantainloft_node``."""
 
 from plantainloft_node.main import main
 
--- a/packages/node/src/plantainloft_node/commands/__init__.py
+++ b/packages/node/src/plantainloft_node/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the ``plantainloft`` binary, one module each."""
+"""Subcommands of the ``plantainloft`` command, one module each."""
--- a/packages/node/src/plantainloft_node/commands/check.py
+++ b/packages/node/src/plantainloft_node/commands/check.py
@@ -1,4 +1,4 @@
-"""``plantainloft check``: check a settings file and start nothing."""
+"""``plantainloft check``: validate a settings file without starting an instance."""
 
 import sys
 from dataclasses import dataclass
--- a/packages/node/src/plantainloft_node/commands/run.py
+++ b/packages/node/src/plantainloft_node/commands/run.py
@@ -10,7 +10,7 @@
 
 from plantainloft_core.outcomes import Invalid
 from plantainloft_node.config import (
-    EMBEDDED_DEFAULT,
+    DEFAULT_SETTINGS_INI,
     load_settings,
     parse_settings,
 )
@@ -31,7 +31,7 @@
 
     def __call__(self) -> None:
         checked = (
-            parse_settings(EMBEDDED_DEFAULT)
+            parse_settings(DEFAULT_SETTINGS_INI)
             if self.settings is None
             else load_settings(self.settings)
         )
@@ -40,5 +40,5 @@
                 print(f'settings: {problem}', file=sys.stderr)
             raise cappa.Exit(code=EXIT_BAD_SETTINGS)
         setup_logging(level=checked.log_level, fmt=checked.log_format, instance=checked.name)
-        setup_metrics(every_s=checked.metrics_every_s)
+        setup_metrics(interval_s=checked.metrics_interval_s)
         anyio.run(run_node, checked)
--- a/packages/node/src/plantainloft_node/config/__init__.py
+++ b/packages/node/src/plantainloft_node/config/__init__.py
@@ -1,14 +1,14 @@
-"""Node settings: a declared INI schema checked into typed values."""
+"""Node settings: a declarative INI schema parsed into typed values."""
 
 from plantainloft_node.config.settings import (
-    EMBEDDED_DEFAULT,
+    DEFAULT_SETTINGS_INI,
     NodeSettings,
     load_settings,
     parse_settings,
 )
 
 __all__ = [
-    'EMBEDDED_DEFAULT',
+    'DEFAULT_SETTINGS_INI',
     'NodeSettings',
     'load_settings',
     'parse_settings',
--- a/packages/node/src/plantainloft_node/config/settings.py
+++ b/packages/node/src/plantainloft_node/config/settings.py
@@ -15,13 +15,13 @@
 from plantainloft_node.limits.limiter import DEFAULT_TERMS, LimitTerms
 
 __all__ = [
-    'EMBEDDED_DEFAULT',
+    'DEFAULT_SETTINGS_INI',
     'NodeSettings',
     'load_settings',
     'parse_settings',
 ]
 
-MS = 1000.0
+MS_PER_S = 1000.0
 TABLE_TIMEOUT_MS = 500.0
 LOOKUP_TTL_S = 30.0
 CONFIG_POLL_MS = 500.0
@@ -31,8 +31,8 @@
 CLAIM_PACE_MS = 40.0
 GRACE_S = 10.0
 LEAVE_S = 2.0
-_STEERING = 'steering'
-_LIMITS = 'limits'
+_STEERING_SECTION = 'steering'
+_LIMITS_SECTION = 'limits'
 
 
 class NodeSettings(NamedTuple):
@@ -58,14 +58,14 @@
     peer_seeds: tuple[str, ...]
     log_level: str
     log_format: str
-    metrics_every_s: float
+    metrics_interval_s: float
     limit_window_s: float
     limit_over: float
     limit_slack: float
 
     @property
     def limit_terms(self) -> LimitTerms:
-        """How the limits of organisations are counted."""
+        """Parameters of the organisations' request limits."""
         return LimitTerms(self.limit_window_s, self.limit_over, self.limit_slack)
 
 
@@ -77,26 +77,26 @@
     Option('node', 'advertise', str),
     Option('platform', 'table_url', str),
     Option('platform', 'timeout_ms', positive, TABLE_TIMEOUT_MS),
-    Option(_STEERING, 'policy', choice('headroom', 'nearest'), 'headroom'),
-    Option(_STEERING, 'lookup_ttl_s', positive, LOOKUP_TTL_S),
-    Option(_STEERING, 'config_poll_ms', positive, CONFIG_POLL_MS),
-    Option(_STEERING, 'load_poll_ms', positive, LOAD_POLL_MS),
-    Option(_STEERING, 'membership_lease_s', positive, MEMBERSHIP_LEASE_S),
-    Option(_STEERING, 'request_timeout_ms', positive, REQUEST_TIMEOUT_MS),
-    Option(_STEERING, 'claim_pace_ms', positive, CLAIM_PACE_MS),
-    Option(_STEERING, 'grace_s', positive, GRACE_S),
-    Option(_STEERING, 'leave_s', positive, LEAVE_S),
+    Option(_STEERING_SECTION, 'policy', choice('headroom', 'nearest'), 'headroom'),
+    Option(_STEERING_SECTION, 'lookup_ttl_s', positive, LOOKUP_TTL_S),
+    Option(_STEERING_SECTION, 'config_poll_ms', positive, CONFIG_POLL_MS),
+    Option(_STEERING_SECTION, 'load_poll_ms', positive, LOAD_POLL_MS),
+    Option(_STEERING_SECTION, 'membership_lease_s', positive, MEMBERSHIP_LEASE_S),
+    Option(_STEERING_SECTION, 'request_timeout_ms', positive, REQUEST_TIMEOUT_MS),
+    Option(_STEERING_SECTION, 'claim_pace_ms', positive, CLAIM_PACE_MS),
+    Option(_STEERING_SECTION, 'grace_s', positive, GRACE_S),
+    Option(_STEERING_SECTION, 'leave_s', positive, LEAVE_S),
     Option('peers', 'listen', str),
     Option('peers', 'seeds', addresses, ()),
     Option('log', 'level', choice('DEBUG', 'INFO', 'WARNING', 'ERROR'), 'INFO'),
     Option('log', 'format', choice('text', 'json'), 'text'),
     Option('metrics', 'console_every_s', not_negative, 0.0),
-    Option(_LIMITS, 'window_s', positive, DEFAULT_TERMS.window_s),
-    Option(_LIMITS, 'over', not_negative, DEFAULT_TERMS.over),
-    Option(_LIMITS, 'slack', not_negative, DEFAULT_TERMS.slack),
+    Option(_LIMITS_SECTION, 'window_s', positive, DEFAULT_TERMS.window_s),
+    Option(_LIMITS_SECTION, 'over', not_negative, DEFAULT_TERMS.over),
+    Option(_LIMITS_SECTION, 'slack', not_negative, DEFAULT_TERMS.slack),
 )
 
-EMBEDDED_DEFAULT = """
+DEFAULT_SETTINGS_INI = """
 [node]
 name = entry-1
 region = istanbul
@@ -113,7 +113,7 @@
 
 
 def parse_settings(text: str) -> NodeSettings | Invalid:
-    """Check INI ``text`` into ``NodeSettings`` or list every problem."""
+    """Parse INI ``text`` into ``NodeSettings``, or return all problems found."""
     values = read_ini(text, OPTIONS)
     if isinstance(values, Invalid):
         return values
@@ -124,21 +124,21 @@
         listen=values['node.listen'],
         advertise=values['node.advertise'],
         table_url=values['platform.table_url'],
-        table_timeout_s=values['platform.timeout_ms'] / MS,
+        table_timeout_s=values['platform.timeout_ms'] / MS_PER_S,
         policy=values['steering.policy'],
         lookup_ttl_s=int(values['steering.lookup_ttl_s']),
-        config_poll_s=values['steering.config_poll_ms'] / MS,
-        load_poll_s=values['steering.load_poll_ms'] / MS,
+        config_poll_s=values['steering.config_poll_ms'] / MS_PER_S,
+        load_poll_s=values['steering.load_poll_ms'] / MS_PER_S,
         membership_lease_s=values['steering.membership_lease_s'],
-        request_timeout_s=values['steering.request_timeout_ms'] / MS,
-        claim_pace_s=values['steering.claim_pace_ms'] / MS,
+        request_timeout_s=values['steering.request_timeout_ms'] / MS_PER_S,
+        claim_pace_s=values['steering.claim_pace_ms'] / MS_PER_S,
         grace_s=values['steering.grace_s'],
         leave_s=values['steering.leave_s'],
         peer_listen=values['peers.listen'],
         peer_seeds=values['peers.seeds'],
         log_level=values['log.level'],
         log_format=values['log.format'],
-        metrics_every_s=values['metrics.console_every_s'],
+        metrics_interval_s=values['metrics.console_every_s'],
         limit_window_s=values['limits.window_s'],
         limit_over=values['limits.over'],
         limit_slack=values['limits.slack'],
@@ -146,7 +146,7 @@
 
 
 def load_settings(path: Path) -> NodeSettings | Invalid:
-    """Read and check the INI file at ``path``."""
+    """Read and parse the INI file at ``path``."""
     try:
         text = path.read_text(encoding='utf-8')
     except OSError as exc:
--- a/packages/node/src/plantainloft_node/ini_schema.py
+++ b/packages/node/src/plantainloft_node/ini_schema.py
@@ -1,7 +1,7 @@
-"""A small declared schema for INI files: typed options with defaults.
+"""Declarative schema for INI files: typed options with defaults.
 
-Each option names its section, its type and how it is checked; reading a
-file reports every problem together, as ``[section] option: message``.
+Each option declares its section, its converter and its default. Reading a file
+reports all problems at once, as ``[section] option: message``.
 """
 
 import configparser
@@ -16,7 +16,7 @@
 
 
 class Option(NamedTuple):
-    """One option: where it lives, how it converts, what it defaults to."""
+    """One option: its section and name, its converter and its default."""
 
     section: str
     name: str
@@ -51,7 +51,7 @@
 
 
 def choice(*allowed: str) -> Callable[[str], str]:
-    """Return a converter accepting only ``allowed`` words."""
+    """Return a converter that accepts only the ``allowed`` values."""
 
     def convert(raw: str) -> str:
         if raw not in allowed:
@@ -62,7 +62,7 @@
 
 
 def read_ini(text: str, options: tuple[Option, ...]) -> dict[str, Any] | Invalid:
-    """Check INI ``text`` by ``options``, as ``check`` does."""
+    """Parse INI ``text`` and validate it against ``options``, as ``check`` does."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
@@ -75,7 +75,7 @@
     parser: configparser.ConfigParser,
     options: tuple[Option, ...],
 ) -> dict[str, Any] | Invalid:
-    """Return ``{section.name: value}`` or every problem found."""
+    """Return ``{section.name: value}``, or all problems found."""
     problems = []
     values = {}
     known = {(opt.section, opt.name) for opt in options}
--- a/packages/node/src/plantainloft_node/logs.py
+++ b/packages/node/src/plantainloft_node/logs.py
@@ -1,4 +1,4 @@
-"""Logging set-up: short sentences for people, or structured lines."""
+"""Logging configuration: plain text for people, or JSON lines."""
 
 import logging
 
@@ -8,10 +8,10 @@
 
 
 def setup_logging(*, level: str, fmt: str, instance: str) -> None:
-    """Log at ``level``: sentences on standard error, or JSON (``fmt``)."""
+    """Configure logging at ``level``, as text on standard error or as JSON (``fmt``)."""
     if fmt == 'json':
         setup_decision_log(level=level, instance=instance)
     else:
         logging.basicConfig(level=level, format='%(asctime)s %(levelname)s %(message)s', force=True)
-    # httpx logs every request at INFO: the node's own sentences drown.
+    # httpx logs every request at INFO, which would bury the node's own messages.
     logging.getLogger('httpx').setLevel(logging.WARNING)
--- a/packages/node/src/plantainloft_node/main.py
+++ b/packages/node/src/plantainloft_node/main.py
@@ -1,4 +1,4 @@
-"""The ``plantainloft`` binary."""
+"""Entry point of the ``plantainloft`` command."""
 
 from dataclasses import dataclass
 
@@ -18,5 +18,5 @@
 
 
 def main() -> None:
-    """Parse the command line and run the command."""
+    """Parse the command line and run the chosen subcommand."""
     cappa.invoke(Plantainloft)
--- a/packages/node/src/plantainloft_node/telemetry.py
+++ b/packages/node/src/plantainloft_node/telemetry.py
@@ -1,4 +1,4 @@
-"""Export OpenTelemetry metrics, where the settings ask for it."""
+"""Export OpenTelemetry metrics, if enabled in the settings."""
 
 from opentelemetry import metrics
 from opentelemetry.sdk.metrics import MeterProvider
@@ -6,17 +6,17 @@
 
 __all__ = ['setup_metrics']
 
-MS = 1000
+MS_PER_S = 1000
 
 
-def setup_metrics(*, every_s: float) -> None:
-    """Write all metrics to standard output every ``every_s`` (0: never).
+def setup_metrics(*, interval_s: float) -> None:
+    """Write all metrics to standard output every ``interval_s`` (0: never).
 
-    Instances have no disk and no collector beside them; the platform
-    gathers standard output.
+    Instances have no disk and no sidecar collector; the platform collects their
+    standard output.
     """
-    if every_s:
+    if interval_s:
         reader = PeriodicExportingMetricReader(
-            ConsoleMetricExporter(), export_interval_millis=every_s * MS
+            ConsoleMetricExporter(), export_interval_millis=interval_s * MS_PER_S
         )
         metrics.set_meter_provider(MeterProvider(metric_readers=[reader]))
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The example settings files stay valid."""
+"""The example settings files are valid."""
 
 from pathlib import Path
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,15 +1,15 @@
-"""Node settings: every problem of a file reported together."""
+"""Node settings: all problems of a file are reported at once."""
 
 from plantainloft_core.outcomes import Invalid
 from plantainloft_node.config import (
-    EMBEDDED_DEFAULT,
+    DEFAULT_SETTINGS_INI,
     NodeSettings,
     parse_settings,
 )
 
 
 def test_embedded_default_is_valid() -> None:
-    assert isinstance(parse_settings(EMBEDDED_DEFAULT), NodeSettings)
+    assert isinstance(parse_settings(DEFAULT_SETTINGS_INI), NodeSettings)
 
 
 def test_every_problem_is_reported_by_option() -> None:
@@ -29,6 +29,6 @@
 
 
 def test_unknown_option_is_a_problem() -> None:
-    checked = parse_settings(EMBEDDED_DEFAULT + '\n[steering]\npolcy = nearest\n')
+    checked = parse_settings(DEFAULT_SETTINGS_INI + '\n[steering]\npolcy = nearest\n')
     assert isinstance(checked, Invalid)
     assert checked.problems == ('[steering] polcy: unknown option',)
