--- a/packages/node/src/plantainloft_node/app.py
+++ b/packages/node/src/plantainloft_node/app.py
@@ -1,11 +1,11 @@
-"""The entry instance's HTTP API.
+"""HTTP API of an entry instance.
 
-- ``GET /v1/lookup?service=S&client_block=B``: entry instances to use.
+- ``GET /v1/lookup?service=S&client_block=B``: entry instances that a client should use.
 - ``{ANY} /v1/forward/{service}/{path}``: forward one request.
-- ``GET /v1/status``: version in force, members, stats by service.
-- ``GET /v1/quarantine``: the requests that are sent to no endpoint.
-- ``POST /v1/quarantine/lift?request=FINGERPRINT``: have one sent again.
-- ``GET /v1/organisations``: organisations, their limits and use, and their keys' digests.
+- ``GET /v1/status``: active configuration version, members and statistics by service.
+- ``GET /v1/quarantine``: the requests that are quarantined, so not sent to any endpoint.
+- ``POST /v1/quarantine/lift?request=FINGERPRINT``: lift the quarantine of a request.
+- ``GET /v1/organisations``: organisations with their limits, usage and key digests.
 """
 
 import logging
@@ -36,7 +36,7 @@
 log = logging.getLogger(__name__)
 
 DEADLINE_HEADER = 'x-request-timeout-ms'
-MS = 1000.0
+MS_PER_S = 1000.0
 _UNAVAILABLE = 503
 _BAD_GATEWAY = 502
 _TIMEOUT = 504
@@ -45,11 +45,11 @@
 _OK = 200
 _UNAUTHORISED = 401
 _TOO_MANY_REQUESTS = 429
-_NON_IDEMPOTENT = frozenset(('POST',))
+_NON_IDEMPOTENT_METHODS = frozenset(('POST',))
 
 
 def outcome_response(outcome: Outcome) -> Response:
-    """Turn an outcome into the caller's HTTP answer."""
+    """Convert an outcome to the HTTP response for the caller."""
     if isinstance(outcome, Served):
         return Response(
             outcome.body,
@@ -98,7 +98,7 @@
 
 
 def log_unserved(outcome: Outcome, *, service: str, version: int, key: str | None) -> None:
-    """Log a request that was not served, and why."""
+    """Log a request that was not served, with the reason."""
     if isinstance(outcome, Served):
         return
     kind = type(outcome).__name__.lower()
@@ -128,7 +128,7 @@
         started = time.monotonic()
         service = request.path_params['service']
         key = request.headers.get('idempotency-key')
-        if request.method in _NON_IDEMPOTENT and not key:
+        if request.method in _NON_IDEMPOTENT_METHODS and not key:
             return JSONResponse(
                 {
                     'outcome': 'refused',
@@ -138,20 +138,20 @@
                 status_code=_BAD_REQUEST,
             )
         timeout_ms = float(
-            request.headers.get(DEADLINE_HEADER, node.settings.request_timeout_s * MS)
+            request.headers.get(DEADLINE_HEADER, node.settings.request_timeout_s * MS_PER_S)
         )
-        call = Request(
+        forward_request = Request(
             service=service,
             method=request.method,
             path=request.path_params['path'],
             headers=dict(request.headers),
             body=await request.body(),
-            deadline=time.time() + timeout_ms / MS,
+            deadline=time.time() + timeout_ms / MS_PER_S,
             caller=request.client.host if request.client else '',
         )
         outcome = await node.handle(
-            call,
-            idempotency_key=key if request.method in _NON_IDEMPOTENT else None,
+            forward_request,
+            idempotency_key=key if request.method in _NON_IDEMPOTENT_METHODS else None,
         )
         log_unserved(outcome, service=service, version=node.follower.config.version, key=key)
         node.stats.record(
@@ -179,10 +179,10 @@
             }
         )
 
-    async def quarantined(request: HttpRequest) -> Response:
+    async def list_quarantined(request: HttpRequest) -> Response:
         return JSONResponse(node.forwarder.quarantine.listing(anyio.current_time()))
 
-    async def lift(request: HttpRequest) -> Response:
+    async def lift_quarantine(request: HttpRequest) -> Response:
         fingerprint = parse_fingerprint(request.query_params.get('request', ''))
         if fingerprint is None:
             return JSONResponse({'problem': 'not a fingerprint'}, status_code=_BAD_REQUEST)
@@ -203,8 +203,8 @@
                 methods=['GET', 'POST', 'PUT', 'DELETE'],
             ),
             Route('/v1/status', status),
-            Route('/v1/quarantine', quarantined),
+            Route('/v1/quarantine', list_quarantined),
             Route('/v1/organisations', organisations),
-            Route('/v1/quarantine/lift', lift, methods=['POST']),
+            Route('/v1/quarantine/lift', lift_quarantine, methods=['POST']),
         ]
     )
--- a/tests/test_unserved_log.py
+++ b/tests/test_unserved_log.py
@@ -1,4 +1,4 @@
-"""What the product's own forwarding did not serve is in the node's log."""
+"""Requests that the forwarder did not serve appear in the node's log."""
 
 import logging
 
@@ -8,8 +8,8 @@
 from plantainloft_node.app import log_unserved
 
 
-def test_a_refusal_is_logged_with_what_decided_it(caplog: pytest.LogCaptureFixture) -> None:
-    """Symptom: a caller was refused, and the node's log is empty."""
+def test_refusal_is_logged_with_its_reason(caplog: pytest.LogCaptureFixture) -> None:
+    """A refused request must leave a log line with the reason for the refusal."""
     caplog.set_level(logging.INFO)
     refused = Refused(reason='no headroom', retry_after_s=1)
     log_unserved(refused, service='desk', version=4, key='k1')
