--- a/packages/node/src/plantainloft_node/admission.py
+++ b/packages/node/src/plantainloft_node/admission.py
@@ -12,9 +12,9 @@
 from plantainloft_node.limits.peer_uses import PeerUses
 from plantainloft_node.limits.shares import FleetSize
 
-__all__ = ['KEY_HEADER', 'AdmissionControl']
+__all__ = ['API_KEY_HEADER', 'AdmissionControl']
 
-KEY_HEADER = 'api-key'
+API_KEY_HEADER = 'api-key'
 # An instance that stopped responding still counts towards the fleet size for this
 # long: it may be partitioned from this one and still serve requests.
 SILENT_INSTANCE_RETENTION_S = 60.0
@@ -32,7 +32,7 @@
         """Return ``request`` with its organisation set, or the reason it is rejected."""
         if not config.organisations.by_name:
             return request
-        key = request.headers.get(KEY_HEADER, '')
+        key = request.headers.get(API_KEY_HEADER, '')
         organisation = config.organisations.holder_of(key.encode())
         if organisation is None:
             return Unauthorised(reason='unknown key' if key else 'no key')
--- a/packages/node/src/plantainloft_node/app.py
+++ b/packages/node/src/plantainloft_node/app.py
@@ -24,7 +24,7 @@
     Served,
     Unauthorised,
 )
-from plantainloft_node.admission import KEY_HEADER
+from plantainloft_node.admission import API_KEY_HEADER
 from plantainloft_node.forwarding import Request
 from plantainloft_node.handling import Outcome
 from plantainloft_node.limits.listing import list_organisations
@@ -35,7 +35,7 @@
 
 log = logging.getLogger(__name__)
 
-DEADLINE_HEADER = 'x-request-timeout-ms'
+TIMEOUT_HEADER = 'x-request-timeout-ms'
 MS_PER_S = 1000.0
 _UNAVAILABLE = 503
 _BAD_GATEWAY = 502
@@ -73,7 +73,7 @@
         return JSONResponse(
             {'outcome': 'unauthorised', 'ran': False, 'reason': outcome.reason},
             status_code=_UNAUTHORISED,
-            headers={'WWW-Authenticate': KEY_HEADER, 'x-plantainloft-outcome': 'unauthorised'},
+            headers={'WWW-Authenticate': API_KEY_HEADER, 'x-plantainloft-outcome': 'unauthorised'},
         )
     if isinstance(outcome, Limited):
         return JSONResponse(
@@ -138,7 +138,7 @@
                 status_code=_BAD_REQUEST,
             )
         timeout_ms = float(
-            request.headers.get(DEADLINE_HEADER, node.settings.request_timeout_s * MS_PER_S)
+            request.headers.get(TIMEOUT_HEADER, node.settings.request_timeout_s * MS_PER_S)
         )
         forward_request = Request(
             service=service,
@@ -158,7 +158,7 @@
             service,
             type(outcome).__name__.lower(),
             seconds=time.monotonic() - started,
-            objective_s=node.objective_s(service),
+            latency_objective_s=node.latency_objective_s(service),
         )
         return outcome_response(outcome)
 
--- a/packages/node/src/plantainloft_node/config/settings.py
+++ b/packages/node/src/plantainloft_node/config/settings.py
@@ -22,15 +22,15 @@
 ]
 
 MS_PER_S = 1000.0
-TABLE_TIMEOUT_MS = 500.0
-LOOKUP_TTL_S = 30.0
-CONFIG_POLL_MS = 500.0
-LOAD_POLL_MS = 1000.0
-MEMBERSHIP_LEASE_S = 180.0
-REQUEST_TIMEOUT_MS = 2000.0
-CLAIM_PACE_MS = 40.0
-GRACE_S = 10.0
-LEAVE_S = 2.0
+DEFAULT_TABLE_TIMEOUT_MS = 500.0
+DEFAULT_LOOKUP_TTL_S = 30.0
+DEFAULT_CONFIG_POLL_MS = 500.0
+DEFAULT_LOAD_POLL_MS = 1000.0
+DEFAULT_MEMBERSHIP_LEASE_S = 180.0
+DEFAULT_REQUEST_TIMEOUT_MS = 2000.0
+DEFAULT_CLAIM_PACE_MS = 40.0
+DEFAULT_GRACE_S = 10.0
+DEFAULT_LEAVE_S = 2.0
 _STEERING_SECTION = 'steering'
 _LIMITS_SECTION = 'limits'
 
@@ -76,16 +76,16 @@
     Option('node', 'listen', str),
     Option('node', 'advertise', str),
     Option('platform', 'table_url', str),
-    Option('platform', 'timeout_ms', positive, TABLE_TIMEOUT_MS),
+    Option('platform', 'timeout_ms', positive, DEFAULT_TABLE_TIMEOUT_MS),
     Option(_STEERING_SECTION, 'policy', choice('headroom', 'nearest'), 'headroom'),
-    Option(_STEERING_SECTION, 'lookup_ttl_s', positive, LOOKUP_TTL_S),
-    Option(_STEERING_SECTION, 'config_poll_ms', positive, CONFIG_POLL_MS),
-    Option(_STEERING_SECTION, 'load_poll_ms', positive, LOAD_POLL_MS),
-    Option(_STEERING_SECTION, 'membership_lease_s', positive, MEMBERSHIP_LEASE_S),
-    Option(_STEERING_SECTION, 'request_timeout_ms', positive, REQUEST_TIMEOUT_MS),
-    Option(_STEERING_SECTION, 'claim_pace_ms', positive, CLAIM_PACE_MS),
-    Option(_STEERING_SECTION, 'grace_s', positive, GRACE_S),
-    Option(_STEERING_SECTION, 'leave_s', positive, LEAVE_S),
+    Option(_STEERING_SECTION, 'lookup_ttl_s', positive, DEFAULT_LOOKUP_TTL_S),
+    Option(_STEERING_SECTION, 'config_poll_ms', positive, DEFAULT_CONFIG_POLL_MS),
+    Option(_STEERING_SECTION, 'load_poll_ms', positive, DEFAULT_LOAD_POLL_MS),
+    Option(_STEERING_SECTION, 'membership_lease_s', positive, DEFAULT_MEMBERSHIP_LEASE_S),
+    Option(_STEERING_SECTION, 'request_timeout_ms', positive, DEFAULT_REQUEST_TIMEOUT_MS),
+    Option(_STEERING_SECTION, 'claim_pace_ms', positive, DEFAULT_CLAIM_PACE_MS),
+    Option(_STEERING_SECTION, 'grace_s', positive, DEFAULT_GRACE_S),
+    Option(_STEERING_SECTION, 'leave_s', positive, DEFAULT_LEAVE_S),
     Option('peers', 'listen', str),
     Option('peers', 'seeds', addresses, ()),
     Option('log', 'level', choice('DEBUG', 'INFO', 'WARNING', 'ERROR'), 'INFO'),
--- a/packages/node/src/plantainloft_node/deciding.py
+++ b/packages/node/src/plantainloft_node/deciding.py
@@ -98,7 +98,7 @@
             config,
             service=service,
             zone=self._zone,
-            loads_by_endpoint=self._loads.view(config, service),
+            loads_by_endpoint=self._loads.loads_of_service(config, service),
             excluded=[endpoint.name for endpoint in (*tried, *disallowed)],
         )
 
@@ -202,7 +202,7 @@
             config, needed_by_region=self._demand_by_region(config), live_peers=live_peers, now=now
         )
         self._counts_by_target.clear()
-        self._peak_inflight_by_region = dict(self._loads.own_by_region(config))
+        self._peak_inflight_by_region = dict(self._loads.own_inflight_by_region(config))
 
     def shares(self) -> dict[str, dict[str, float]]:
         """Return the current traffic split, by service and region."""
@@ -263,12 +263,12 @@
         excluded: Collection[str],
     ) -> Choice | Refused:
         now = time.monotonic()
-        own_inflight = self._loads.own_by_region(config)
+        own_inflight = self._loads.own_inflight_by_region(config)
         choice = self._policy.choose(
             config,
             service=service,
             zone=self._zone,
-            loads_by_endpoint=self._loads.view(config, service),
+            loads_by_endpoint=self._loads.loads_of_service(config, service),
             excluded=excluded,
             limits=RegionLimits(
                 own_by_region=own_inflight,
@@ -286,7 +286,7 @@
         return choice
 
     def _region_views(self, config: Configuration, service: str) -> dict[str, RegionView]:
-        loads = self._loads.view(config, service)
+        loads = self._loads.loads_of_service(config, service)
         refused_by_region = {
             region: min(1.0, counts.rejected / counts.sent)
             for (name, region), counts in self._counts_by_target.items()
--- a/packages/node/src/plantainloft_node/follower.py
+++ b/packages/node/src/plantainloft_node/follower.py
@@ -48,7 +48,7 @@
         self.document: dict[str, Any] = {}
         self.on_config_change: Callable[[], None] = _ignore_change
         self._client = client
-        self._table = TableConfigSource(client=client)
+        self._table_source = TableConfigSource(client=client)
         self._poll_s = poll_s
         self._node_count = node_count
         self._retained_changes: collections.deque[Change] = collections.deque(
@@ -72,7 +72,7 @@
         if isinstance(head, Unreachable):
             self._report_source_failure(head.reason)
             return False
-        if not await self._advance_to(head, self._table):
+        if not await self._advance_to(head, self._table_source):
             return False
         if self._source_failing:
             log.info('Config: the table service is available again.')
@@ -113,7 +113,7 @@
         if announced is not None and not await self._advance_to(
             announced.version, announced.source
         ):
-            await self._advance_to(announced.version, self._table)
+            await self._advance_to(announced.version, self._table_source)
 
     async def _advance_to(self, head: int, source: ConfigSource) -> bool:
         """Advance to version ``head``; return False if ``source`` cannot provide it."""
--- a/packages/node/src/plantainloft_node/forwarding.py
+++ b/packages/node/src/plantainloft_node/forwarding.py
@@ -122,13 +122,13 @@
         if request.organisation is not None:
             headers['x-organisation'] = request.organisation.name
         headers['x-deadline-ms'] = str(int(request.deadline * MS_PER_S))
-        self._loads.started(name)
+        self._loads.record_started(name)
         answer: WholeAnswer | NotSent | Failed = Failed(reason='no answer in time')
         try:
             with anyio.move_on_after(remaining):
                 answer = await self._client.ask(*_build_outgoing_request(address, request, headers))
         finally:
-            self._loads.finished(name)
+            self._loads.record_finished(name)
         if isinstance(answer, NotSent):
             return Refused(reason=f'{name} unreachable', retry_after_s=1)
         if isinstance(answer, Failed):
--- a/packages/node/src/plantainloft_node/loads.py
+++ b/packages/node/src/plantainloft_node/loads.py
@@ -34,7 +34,7 @@
         self._http = http
         self._poll_s = poll_s
 
-    def own_by_region(self, config: Configuration) -> dict[str, int]:
+    def own_inflight_by_region(self, config: Configuration) -> dict[str, int]:
         """Return the requests that this node has in flight, by region."""
         by_region: dict[str, int] = {}
         for name, count in self.own_inflight_by_endpoint.items():
@@ -43,7 +43,7 @@
                 by_region[endpoint.region] = by_region.get(endpoint.region, 0) + count
         return by_region
 
-    def view(self, config: Configuration, service: str) -> dict[str, EndpointLoad]:
+    def loads_of_service(self, config: Configuration, service: str) -> dict[str, EndpointLoad]:
         """Return the current loads of the endpoints of ``service``."""
         now = time.monotonic()
         if self._first_version is None:
@@ -67,11 +67,11 @@
             )
         return loads
 
-    def started(self, name: str) -> None:
+    def record_started(self, name: str) -> None:
         """Count a request sent to endpoint ``name``."""
         self.own_inflight_by_endpoint[name] = self.own_inflight_by_endpoint.get(name, 0) + 1
 
-    def finished(self, name: str) -> None:
+    def record_finished(self, name: str) -> None:
         """Stop counting a request to endpoint ``name`` that ended."""
         self.own_inflight_by_endpoint[name] -= 1
 
@@ -156,7 +156,7 @@
     slots = dict.fromkeys(config.regions_by_name, 0.0)
     free = dict.fromkeys(config.regions_by_name, 0.0)
     for service, endpoints in config.endpoints_by_service.items():
-        load_by_endpoint = loads.view(config, service)
+        load_by_endpoint = loads.loads_of_service(config, service)
         for endpoint in endpoints:
             load = load_by_endpoint[endpoint.name]
             slots[endpoint.region] += usable_slots(endpoint, load)
--- a/packages/node/src/plantainloft_node/node.py
+++ b/packages/node/src/plantainloft_node/node.py
@@ -86,7 +86,7 @@
             roster=self.roster,
             claims=claims,
             links=links,
-            version=lambda: self.follower.config.version,
+            current_version=lambda: self.follower.config.version,
             on_newer_version=lambda version, address: self.follower.note_available_version(
                 version, PeerConfigSource(links=links, address=address)
             ),
@@ -190,7 +190,7 @@
         """Return the free share (0..1) of usable slots in each region."""
         return region_headroom(self.follower.config, self.loads)
 
-    def objective_s(self, service: str) -> float:
+    def latency_objective_s(self, service: str) -> float:
         """Return the latency objective of ``service`` in seconds."""
         declared = self.follower.config.services_by_name.get(service)
         return math.inf if declared is None else declared.slo_ms / MS_PER_S
--- a/packages/node/src/plantainloft_node/peering/mesh.py
+++ b/packages/node/src/plantainloft_node/peering/mesh.py
@@ -43,7 +43,7 @@
         roster: Roster,
         claims: ClaimBook,
         links: Links,
-        version: Callable[[], int],
+        current_version: Callable[[], int],
         on_newer_version: Callable[[int, str], None],
         crashes: CrashBook,
         uses: Callable[[float], Mapping[int, OrganisationUse]],
@@ -52,7 +52,7 @@
         self.roster = roster
         self._claims = claims
         self._links = links
-        self._current_version = version
+        self._current_version = current_version
         self._on_newer_version = on_newer_version
         self._crashes = crashes
         self._uses = uses
--- a/packages/node/src/plantainloft_node/running.py
+++ b/packages/node/src/plantainloft_node/running.py
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 400
+MAX_HTTP_CONNECTIONS = 400
 
 
 async def run_node(settings: NodeSettings) -> None:
     """Run an entry instance until SIGTERM, then shut it down gracefully."""
-    limits = httpx.Limits(max_connections=MAX_CONNECTIONS)
+    limits = httpx.Limits(max_connections=MAX_HTTP_CONNECTIONS)
     async with httpx.AsyncClient(limits=limits) as http:
         table = TableClient(base_url=settings.table_url, timeout_s=settings.table_timeout_s)
         async with anyio.create_task_group() as tasks:
--- a/packages/node/src/plantainloft_node/stats.py
+++ b/packages/node/src/plantainloft_node/stats.py
@@ -48,14 +48,16 @@
     def __init__(self) -> None:
         self.by_service: dict[str, ServiceStats] = {}
 
-    def record(self, service: str, outcome: str, *, seconds: float, objective_s: float) -> None:
+    def record(
+        self, service: str, outcome: str, *, seconds: float, latency_objective_s: float
+    ) -> None:
         """Count one request of ``service`` that ended as ``outcome``.
 
-        A served request that took longer than ``objective_s`` also counts as late.
+        A served request that took longer than ``latency_objective_s`` also counts as late.
         """
         stats = self.by_service.setdefault(service, ServiceStats())
         stats.counts_by_outcome[outcome] = stats.counts_by_outcome.get(outcome, 0) + 1
-        if outcome == 'served' and seconds > objective_s:
+        if outcome == 'served' and seconds > latency_objective_s:
             stats.late += 1
         stats.latency.record_value(max(1, int(seconds * US_PER_S)))
         _outcomes.add(1, {'service': service, 'outcome': outcome})
