--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: an in-process table service and a small deployment."""
+"""Shared fixtures: an in-process table service and deployments of several sizes."""
 
 from collections.abc import AsyncIterator, Iterator
 from pathlib import Path
@@ -26,9 +26,9 @@
 
 pytest_plugins = ['known_red', 'pytester']
 
-# The same examples every run: a verdict must not change by luck.
-hypothesis.settings.register_profile('same', derandomize=True, deadline=None)
-hypothesis.settings.load_profile('same')
+# Generate the same examples in every run, so that results are reproducible.
+hypothesis.settings.register_profile('deterministic', derandomize=True, deadline=None)
+hypothesis.settings.load_profile('deterministic')
 
 
 @pytest.fixture
@@ -51,13 +51,14 @@
 
 @pytest.fixture(scope='module')
 def karaduman(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
+    """Run the karaduman deployment, shared by the tests of a module."""
     work_dir: Path = tmp_path_factory.mktemp('karaduman')
     cluster = bring_up(DEPLOYMENTS['karaduman'], work_dir=work_dir)
     yield cluster
     cluster.processes.stop_all()
 
 
-TINY = Deployment(
+TINY_DEPLOYMENT = Deployment(
     name='tiny',
     regions=('ankara', 'izmir'),
     services=(ServicePlan(name='case-desk', per_zone=1, slots=4, service_ms=200, slo_ms=1000),),
@@ -67,17 +68,21 @@
 
 @pytest.fixture
 def tiny(tmp_path: Path) -> Iterator[Cluster]:
-    """Two regions, four endpoints of 200 ms, four entry instances."""
-    cluster = bring_up(TINY, work_dir=tmp_path)
+    """Run two regions with four entry instances and four endpoints.
+
+    Each endpoint takes 200 ms for a request.
+    """
+    cluster = bring_up(TINY_DEPLOYMENT, work_dir=tmp_path)
     yield cluster
     cluster.processes.stop_all()
 
 
 @pytest.fixture
 def handles(tmp_path: Path) -> Iterator[list[EntryProcessHandle]]:
-    started: list[EntryProcessHandle] = []
-    yield started
-    for handle in started:
+    """Yield a list of entry processes; those added to it are killed after the test."""
+    processes: list[EntryProcessHandle] = []
+    yield processes
+    for handle in processes:
         handle.kill()
 
 
@@ -85,24 +90,33 @@
 async def deployment(
     handles: list[EntryProcessHandle], tmp_path: Path
 ) -> AsyncIterator[EntryDeployment]:
+    """Run two entry processes and two endpoints on one store.
+
+    Each entry process reaches the store through a proxy of its own. The
+    endpoints belong to the services ``desk`` and ``other``.
+    """
     async with running_store() as (store, tasks):
         endpoints = [RawEndpoint(script=answer_all), RawEndpoint(script=answer_all)]
         for endpoint, service in zip(endpoints, ('desk', 'other'), strict=True):
-            await tasks.start(lambda *, task_status, one=endpoint: one.run(task_status=task_status))
+            await tasks.start(
+                lambda *, task_status, current=endpoint: current.run(task_status=task_status)
+            )
             store.put(
                 ENDPOINT_TABLE, f'i-{service}', endpoint_row(endpoint.address, service=service)
             )
         store.put(OPERATOR, 'config', config(3))
-        doors = [StoreDoor(store=store) for _ in range(2)]
-        for number, door in enumerate(doors, start=1):
-            await tasks.start(lambda *, task_status, one=door: one.serve(task_status=task_status))
+        proxies = [StoreDoor(store=store) for _ in range(2)]
+        for number, proxy in enumerate(proxies, start=1):
+            await tasks.start(
+                lambda *, task_status, current=proxy: current.serve(task_status=task_status)
+            )
             handles.append(
                 EntryProcessHandle(
-                    number=number, store=door.address, work_dir=tmp_path, seeds='127.0.9.1:7801'
+                    number=number, store=proxy.address, work_dir=tmp_path, seeds='127.0.9.1:7801'
                 )
             )
         for handle in handles:
             handle.start()
         for handle in handles:
             await handle.until_ready()
-        yield EntryDeployment(store, doors, endpoints, handles)
+        yield EntryDeployment(store, proxies, endpoints, handles)
