--- a/tests/entry_fixtures.py
+++ b/tests/entry_fixtures.py
@@ -1,4 +1,7 @@
-"""Raw-socket endpoints and callers for tests of the forwarding engine."""
+"""Scripted endpoints, and a front that forwards to them, for tests of the forwarding engine.
+
+Endpoints and callers exchange raw bytes, so tests can send malformed messages.
+"""
 
 import re
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -32,15 +35,15 @@
 from plantainloft_node.quarantine.quarantine import Quarantine
 from plantainloft_standins.quarantine_store import MemoryQuarantineStore
 
-NAMES = HeaderNames(signature=b'x-signature')
-LIMITS = LimitTerms(window_s=5.0, over=0.0, slack=0.0)
+HEADER_NAMES = HeaderNames(signature=b'x-signature')
+LIMIT_TERMS = LimitTerms(window_s=5.0, over=0.0, slack=0.0)
 Script = Callable[['Conversation'], Awaitable[None]]
 SERVICE = 'case-desk'
 
 
-def route(*, idempotent: bool, prefix: str, **terms: object) -> Route:
-    """A route of the test host with everyday terms."""
-    known: dict[str, object] = {
+def route(*, idempotent: bool, prefix: str, **overrides: object) -> Route:
+    """Return a route of the test host; ``overrides`` replace its default settings."""
+    defaults: dict[str, object] = {
         'name': prefix,
         'host': 'desk.example',
         'prefix': prefix,
@@ -53,7 +56,7 @@
         'sticky': True,
         'regions': frozenset(),
     }
-    return Route(**{**known, **terms})  # type: ignore[arg-type]
+    return Route(**{**defaults, **overrides})  # type: ignore[arg-type]
 
 
 def table_of(
@@ -62,6 +65,7 @@
     limits: CallerLimits | None = None,
     organisations: OrganisationBook = NO_ORGANISATIONS,
 ) -> RouteTable:
+    """Return a route table of ``routes`` with the service ``SERVICE`` only."""
     spec = ServiceSpec(
         name=SERVICE, health_path='/health', max_connections=100, warmup_s=3.0, cold_rate=11.0
     )
@@ -75,36 +79,44 @@
 
 
 class Conversation:
-    """One connection that an endpoint script talks on."""
+    """A connection to a scripted endpoint, as its script reads and writes it."""
 
     def __init__(self, *, stream: SocketStream, endpoint: 'RawEndpoint') -> None:
         self.stream = stream
         self.endpoint = endpoint
-        self._unread = b''
+        self._buffer = b''
 
     async def request(self) -> bytes:
-        """Read one request, head and sized body."""
-        while b'\r\n\r\n' not in self._unread:
-            self._unread += await self.stream.receive()
-        head, _, rest = self._unread.partition(b'\r\n\r\n')
-        found = re.search(rb'content-length: (\d+)', head.lower())
-        size = int(found.group(1)) if found else 0
+        """Read one request: its head, and a body of the length in Content-Length.
+
+        Chunked bodies are not supported. The request is also appended to
+        ``endpoint.requests``.
+        """
+        while b'\r\n\r\n' not in self._buffer:
+            self._buffer += await self.stream.receive()
+        head, _, rest = self._buffer.partition(b'\r\n\r\n')
+        content_length = re.search(rb'content-length: (\d+)', head.lower())
+        size = int(content_length.group(1)) if content_length else 0
         while len(rest) < size:
             rest += await self.stream.receive()
-        self._unread = rest[size:]
+        self._buffer = rest[size:]
         self.endpoint.requests.append(head + b'\r\n\r\n' + rest[:size])
         return self.endpoint.requests[-1]
 
     async def say(self, raw: bytes) -> None:
+        """Send ``raw`` as it is."""
         await self.stream.send(raw)
 
 
 def whole(body: bytes, *, request_id: bytes = b'', more: bytes = b'') -> bytes:
-    """A signed 200 with ``body``."""
-    echo = b'X-Request-Id: ' + request_id + b'\r\n' if request_id else b''
+    """Return a complete signed response with status 200 and ``body``.
+
+    ``more`` holds further header lines, each with its line ending.
+    """
+    request_id_header = b'X-Request-Id: ' + request_id + b'\r\n' if request_id else b''
     return (
         b'HTTP/1.1 200 OK\r\nX-Signature: s\r\n'
-        + echo
+        + request_id_header
         + more
         + b'Content-Length: %d\r\n\r\n' % len(body)
         + body
@@ -112,7 +124,11 @@
 
 
 class RawEndpoint:
-    """A listener whose every connection runs ``script``."""
+    """A listener that runs ``script`` on each of its connections.
+
+    ``connections`` counts the connections accepted so far, ``ended`` those that
+    ended while their script was still reading or writing.
+    """
 
     def __init__(self, *, script: Script) -> None:
         self.script = script
@@ -123,19 +139,20 @@
         self._scope = anyio.CancelScope()
 
     def stop(self) -> None:
-        """End it, with all its connections."""
+        """Stop listening and close all connections."""
         self._scope.cancel()
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
+        """Serve on a free port until stopped; ``address`` is set once started."""
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1', local_port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         self.address = f'127.0.0.1:{port}'
         task_status.started()
         with self._scope:
-            await listener.serve(self._talk)
+            await listener.serve(self._run_script)
         await listener.aclose()
 
-    async def _talk(self, stream: SocketStream) -> None:
+    async def _run_script(self, stream: SocketStream) -> None:
         self.connections += 1
         try:
             async with stream:
@@ -145,7 +162,10 @@
 
 
 class Entry(NamedTuple):
-    """A front on loopback, and what it believes."""
+    """A front that listens on loopback, and the state that it works with.
+
+    ``connections`` holds every caller connection accepted so far.
+    """
 
     address: str
     book: EndpointBook
@@ -159,12 +179,16 @@
         return await anyio.connect_tcp(host, int(port))
 
     async def ask(self, raw: bytes, *, within_s: float = 5.0) -> bytes:
-        """Send ``raw`` on a new connection; return all until it ends."""
+        """Send ``raw`` on a new connection and return the response.
+
+        Returns what has arrived if the connection ends before the response is
+        complete.
+        """
         answer = b''
         async with await self.connect() as stream:
             await stream.send(raw)
             with anyio.fail_after(within_s):
-                while not _is_whole(answer):
+                while not _is_complete(answer):
                     try:
                         answer += await stream.receive()
                     except (anyio.EndOfStream, anyio.BrokenResourceError):
@@ -172,10 +196,10 @@
         return answer
 
 
-def _is_whole(answer: bytes) -> bool:
-    head, blank, body = answer.partition(b'\r\n\r\n')
-    found = re.search(rb'content-length: (\d+)', head.lower())
-    return bool(blank and found and len(body) >= int(found.group(1)))
+def _is_complete(answer: bytes) -> bool:
+    head, separator, body = answer.partition(b'\r\n\r\n')
+    content_length = re.search(rb'content-length: (\d+)', head.lower())
+    return bool(separator and content_length and len(body) >= int(content_length.group(1)))
 
 
 def get(path: bytes = b'/files/1', *, more: bytes = b'', request_id: bytes = b'r1') -> bytes:
@@ -208,14 +232,17 @@
     tables: list[RouteTable] | None = None,
     limiter: RequestLimiter | None = None,
 ) -> AsyncIterator[tuple[Entry, list[RawEndpoint]]]:
-    """A front with one raw endpoint for each script, in rank order of key ''.
+    """Run a front that forwards to one scripted endpoint for each script.
 
-    The last of ``tables`` is in force.
+    The endpoints are ``i0``, ``i1`` and so on, in the order of ``scripts``.
+    Requests without an affinity key spread over them by request id. The last of
+    ``tables`` is in force: appending to the list replaces the route table of
+    the running front.
     """
-    routes = table or table_of(
+    default_table = table or table_of(
         route(idempotent=True, prefix='/files/'), route(idempotent=False, prefix='/notices/')
     )
-    versions = tables or [routes]
+    table_versions = tables or [default_table]
     book = EndpointBook(region_by_zone={'a': 'ankara'})
     terms = PlacementTerms(region='ankara', instance='e1', cold_over=1.5, cold_slack=5.0)
     placement = Placement(terms=terms, book=book)
@@ -228,34 +255,36 @@
     )
     crash_checks = CrashChecks(on_crash=quarantine.note_crash)
     front = Front(
-        names=NAMES,
+        names=HEADER_NAMES,
         dispatcher=Dispatcher(
-            names=NAMES,
+            names=HEADER_NAMES,
             placement=placement,
-            sender=Sender(names=NAMES, pool=pool),
+            sender=Sender(names=HEADER_NAMES, pool=pool),
             retries=RetryTerms(ratio=0.2, extra=64.0, window_s=10.0),
             crash_checks=crash_checks,
             quarantine=quarantine,
         ),
-        limiter=limiter or RequestLimiter(me='e1', terms=LIMITS),
-        table=lambda: versions[-1],
+        limiter=limiter or RequestLimiter(me='e1', terms=LIMIT_TERMS),
+        table=lambda: table_versions[-1],
         observe=lambda name, outcome, seconds: None,
     )
     endpoints = [RawEndpoint(script=script) for script in scripts]
     connections: list[CallerConnection] = []
 
-    async def serve(stream: SocketStream) -> None:
+    async def serve_caller(stream: SocketStream) -> None:
         connection = CallerConnection(stream=stream, handler=front, clock=anyio.current_time)
         connections.append(connection)
         await connection.run()
 
     async with anyio.create_task_group() as tasks:
         for number, endpoint in enumerate(endpoints):
-            await tasks.start(lambda *, task_status, one=endpoint: one.run(task_status=task_status))
-            book.put(_record(f'i{number}', endpoint.address), anyio.current_time())
+            await tasks.start(
+                lambda *, task_status, current=endpoint: current.run(task_status=task_status)
+            )
+            book.put(_endpoint_record(f'i{number}', endpoint.address), anyio.current_time())
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1', local_port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        tasks.start_soon(listener.serve, serve)
+        tasks.start_soon(listener.serve, serve_caller)
         tasks.start_soon(crash_checks.run)
         tasks.start_soon(quarantine.run)
         yield (
@@ -265,7 +294,7 @@
         tasks.cancel_scope.cancel()
 
 
-def _record(endpoint_id: str, address: str) -> EndpointRecord:
+def _endpoint_record(endpoint_id: str, address: str) -> EndpointRecord:
     return EndpointRecord(
         id=endpoint_id,
         service=SERVICE,
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, and entry processes beside it."""
+"""An in-memory stand-in for the platform's store, and entry processes that use it."""
 
 import base64
 import json
@@ -28,10 +28,12 @@
 
 
 class StoreStandin(Handler):
-    """Rows in memory, with their history, as the platform's pages tell.
+    """Keeps rows in memory and serves them as the platform's documentation describes.
 
-    ``refusing`` answers 503 to everything, ``forgotten`` drops history up
-    to that version (410), ``silent`` never answers.
+    A test injects faults by setting attributes: while ``refusing`` is set,
+    every request is answered with 503; while ``silent`` is set, no request is
+    answered; ``forgotten`` is the version before which no history is kept, so
+    that asking for the changes after an earlier version is answered with 410.
     """
 
     def __init__(self) -> None:
@@ -40,7 +42,7 @@
         self.refusing = False
         self.silent = False
         self.forgotten = 0
-        self.calls: list[str] = []
+        self.operations: list[str] = []
         self.address = ''
         self._changed = anyio.Event()
 
@@ -63,64 +65,66 @@
             'ver': self.version,
             'removed': True,
         }
-        self._wake()
+        self._notify_waiters()
 
     async def serve(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
-        await _serve(self, task_status)
+        await _listen_and_serve(self, task_status)
 
     async def handle(self, exchange: Exchange) -> None:
-        call = exchange.path.rpartition('/')[2]
-        self.calls.append(call)
+        operation = exchange.path.rpartition('/')[2]
+        self.operations.append(operation)
         if self.silent:
             await anyio.sleep_forever()
         if self.refusing:
             await exchange.answer(503, [])
             return
-        asked = {name: found[0] for name, found in parse_qs(exchange.query).items()}
-        if call == 'rows-get':
-            await self._get(exchange, asked)
-        elif call == 'rows-feed':
-            await self._feed(exchange, asked)
+        parameters = {name: values[0] for name, values in parse_qs(exchange.query).items()}
+        if operation == 'rows-get':
+            await self._get(exchange, parameters)
+        elif operation == 'rows-feed':
+            await self._feed(exchange, parameters)
         else:
             body, _ = await exchange.body.prefetch()
             await self._transact(exchange, json.loads(body))
 
-    async def _transact(self, exchange: Exchange, asked: dict[str, Any]) -> None:
-        for row in asked['expect_rev']:
-            known = self.rows.get((row['table'], row['key']), {'ver': 0})
-            if row['ver'] != (0 if known.get('removed') else known['ver']):
+    async def _transact(self, exchange: Exchange, transaction: dict[str, Any]) -> None:
+        for row in transaction['expect_rev']:
+            current = self.rows.get((row['table'], row['key']), {'ver': 0})
+            if row['ver'] != (0 if current.get('removed') else current['ver']):
                 await exchange.answer(412, JSON_TYPE, b'{"rows":[]}')
                 return
-        for row in asked['writes']:
+        for row in transaction['writes']:
             self._write(row['table'], row['key'], row['value'])
-        for row in asked['remove']:
+        for row in transaction['remove']:
             self.remove(row['table'], row['key'])
         await self._reply(exchange, {})
 
-    async def _get(self, exchange: Exchange, asked: dict[str, str]) -> None:
+    async def _get(self, exchange: Exchange, parameters: dict[str, str]) -> None:
         rows = [
             row
             for (table, key), row in sorted(self.rows.items())
-            if table == asked['table'] and not row.get('removed') and key >= asked.get('from', '')
+            if table == parameters['table']
+            and not row.get('removed')
+            and key >= parameters.get('from', '')
         ]
-        limit = int(asked.get('limit', 500))
+        limit = int(parameters.get('limit', 500))
         await self._reply(exchange, {'rows': rows[:limit], 'more_pages': len(rows) > limit})
 
-    async def _feed(self, exchange: Exchange, asked: dict[str, str]) -> None:
-        after = int(asked['after'])
+    async def _feed(self, exchange: Exchange, parameters: dict[str, str]) -> None:
+        after = int(parameters['after'])
         if after < self.forgotten:
             await exchange.answer(410, [])
             return
-        with anyio.move_on_after(int(asked['wait_ms']) / 1000):
-            while not self._since(asked['table'], after):
+        with anyio.move_on_after(int(parameters['wait_ms']) / 1000):
+            while not self._rows_after(parameters['table'], after):
                 await self._changed.wait()
-        await self._reply(exchange, {'rows': self._since(asked['table'], after)})
+        await self._reply(exchange, {'rows': self._rows_after(parameters['table'], after)})
 
     async def _reply(self, exchange: Exchange, document: dict[str, Any]) -> None:
-        whole = {**document, 'ver': self.version, 'now': '1ms'}
-        await exchange.answer(200, JSON_TYPE, json.dumps(whole).encode())
+        payload = {**document, 'ver': self.version, 'now': '1ms'}
+        await exchange.answer(200, JSON_TYPE, json.dumps(payload).encode())
 
-    def _since(self, table: str, after: int) -> list[dict[str, Any]]:
+    def _rows_after(self, table: str, after: int) -> list[dict[str, Any]]:
         rows = [row for (name, _), row in self.rows.items() if name == table]
         return sorted((row for row in rows if row['ver'] > after), key=lambda row: row['ver'])
 
@@ -133,19 +137,22 @@
             'value': encoded,
             'ver': self.version,
         }
-        self._wake()
+        self._notify_waiters()
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
 
 class StoreDoor(Handler):
-    """The store as one instance meets it: it may be refused alone."""
+    """A proxy through which one entry instance reaches the store.
+
+    It can refuse requests while other instances still reach the store.
+    """
 
     def __init__(self, *, store: StoreStandin) -> None:
         self._store = store
-        self._waiting: set[anyio.CancelScope] = set()
+        self._open_requests: set[anyio.CancelScope] = set()
         self.refusing = False
         self.address = ''
 
@@ -156,43 +163,43 @@
         return True
 
     async def serve(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
-        await _serve(self, task_status)
+        await _listen_and_serve(self, task_status)
 
     async def handle(self, exchange: Exchange) -> None:
         if self.refusing:
             await exchange.answer(503, [])
             return
-        with anyio.CancelScope() as waiting:
-            self._waiting.add(waiting)
+        with anyio.CancelScope() as scope:
+            self._open_requests.add(scope)
             await self._store.handle(exchange)
-        self._waiting.discard(waiting)
-        if waiting.cancelled_caught:
+        self._open_requests.discard(scope)
+        if scope.cancelled_caught:
             await exchange.answer(503, [])
 
     def refuse(self) -> None:
-        """Refuse from now on, the polls that wait too."""
+        """Answer 503 from now on, also to open requests such as long polls."""
         self.refusing = True
-        for waiting in self._waiting:
-            waiting.cancel()
+        for scope in self._open_requests:
+            scope.cancel()
 
 
-async def _serve(
+async def _listen_and_serve(
     handler: StoreStandin | StoreDoor, task_status: anyio.abc.TaskStatus[None]
 ) -> None:
     listener = await anyio.create_tcp_listener(local_host='127.0.0.1', local_port=0)
     handler.address = f'127.0.0.1:{listener.extra(SocketAttribute.local_port)}'
     task_status.started()
 
-    async def one(stream: SocketStream) -> None:
+    async def serve_connection(stream: SocketStream) -> None:
         await CallerConnection(stream=stream, handler=handler, clock=anyio.current_time).run()
 
-    await listener.serve(one)
+    await listener.serve(serve_connection)
 
 
 def config(version: int, *, service: str = 'desk', timeout: str = '1500ms') -> dict[str, Any]:
-    """A configuration with one route of each kind."""
+    """Return a configuration with an idempotent and a non-idempotent route to ``service``."""
 
-    def one_route(name: str, kind: str) -> dict[str, Any]:
+    def route_resource(name: str, kind: str) -> dict[str, Any]:
         return {
             'resource_type': 'routes',
             'metadata': {'name': name},
@@ -210,7 +217,7 @@
             },
         }
 
-    def one_service(name: str) -> dict[str, Any]:
+    def service_resource(name: str) -> dict[str, Any]:
         return {
             'resource_type': 'services',
             'metadata': {'name': name},
@@ -233,10 +240,10 @@
     return {
         'version': version,
         'resources': [
-            one_route('files', 'idempotent'),
-            one_route('notices', 'non_idempotent'),
-            one_service('desk'),
-            one_service('other'),
+            route_resource('files', 'idempotent'),
+            route_resource('notices', 'non_idempotent'),
+            service_resource('desk'),
+            service_resource('other'),
             {'resource_type': 'limits', 'metadata': {}, 'spec': limits},
         ],
     }
@@ -250,7 +257,7 @@
     service: str = 'desk',
     slots: int = 4,
 ) -> dict[str, Any]:
-    """What an endpoint's row says."""
+    """Return the content of an endpoint's row."""
     return {
         'address': address,
         'info': {'service': service, 'version': 'v1', 'zone': zone, 'slots': slots},
@@ -287,7 +294,7 @@
 
 
 class EntryProcessHandle:
-    """A real entry process, its addresses and what it logged."""
+    """An entry process that runs as a subprocess, its addresses and its log."""
 
     def __init__(self, *, number: int, store: str, work_dir: Path, seeds: str = '') -> None:
         self.host = f'127.0.9.{number}'
@@ -302,14 +309,14 @@
             )
         )
         self.log_path = work_dir / f'entry-{number}.log'
-        self._log = self.log_path.open('wb')
+        self._log_file = self.log_path.open('wb')
         self._process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
         self._process = subprocess.Popen(
             [sys.executable, '-m', 'plantainloft_platform'],
             env={**os.environ, 'PLANTAINLOFT_CONFIG': str(self.settings)},
-            stdout=self._log,
+            stdout=self._log_file,
             stderr=subprocess.STDOUT,
         )
 
@@ -318,13 +325,14 @@
         self._process.send_signal(number)
 
     def blocks(self, number: int) -> bool:
-        """Return whether the process holds this signal back just now."""
+        """Return whether the process blocks this signal at present."""
         assert self._process is not None
         status = Path(f'/proc/{self._process.pid}/status').read_text()
         blocked = next(line for line in status.splitlines() if line.startswith('SigBlk:'))
         return bool(int(blocked.split()[1], 16) & (1 << (number - 1)))
 
     async def ended(self) -> int:
+        """Wait for the process to exit and return its exit code."""
         assert self._process is not None
         return await anyio.to_thread.run_sync(self._process.wait, abandon_on_cancel=True)
 
@@ -332,43 +340,50 @@
         if self._process is not None and self._process.poll() is None:
             self._process.kill()
             self._process.wait()
-        self._log.close()
+        self._log_file.close()
 
     def lines(self) -> list[dict[str, Any]]:
+        """Return the log records written so far."""
         return [json.loads(line) for line in self.log_path.read_text().splitlines()]
 
     async def until_ready(self) -> None:
         await until(lambda: self.status_of(self.ready, '/v1/ready'), 200)
 
     async def status_of(self, address: str, path: str) -> int:
+        """GET ``path`` and return the status, or 0 without an answer."""
         answer = await call(address, path)
         return int(answer.split(b' ', 2)[1]) if answer else 0
 
 
 def _free_ports(host: str) -> list[int]:
+    # All sockets stay bound until each has a port, so that the ports differ.
     sockets = [socket.socket() for _ in range(4)]
-    for one in sockets:
-        one.bind((host, 0))
-    ports = [one.getsockname()[1] for one in sockets]
-    for one in sockets:
-        one.close()
+    for sock in sockets:
+        sock.bind((host, 0))
+    ports = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
+        sock.close()
     return ports
 
 
 async def call(address: str, path: str, *, host: str = 'desk.example', more: str = '') -> bytes:
-    """GET ``path``; return the raw answer, or nothing without one."""
-    name, _, port = address.partition(':')
-    got = b''
+    """GET ``path`` and return the raw bytes received, which may be none or a part.
+
+    ``host`` is the Host header; ``more`` holds further header lines, each with
+    its line ending.
+    """
+    ip_address, _, port = address.partition(':')
+    received = b''
     try:
         with anyio.move_on_after(5):
-            async with await anyio.connect_tcp(name, int(port)) as stream:
+            async with await anyio.connect_tcp(ip_address, int(port)) as stream:
                 head = f'GET {path} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n{more}\r\n'
                 await stream.send(head.encode())
                 while True:
-                    got += await stream.receive()
+                    received += await stream.receive()
     except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
-        return got
-    return got
+        return received
+    return received
 
 
 async def until(probe: Any, wanted: Any, *, within_s: float = 20.0) -> None:
@@ -380,6 +395,7 @@
 
 @asynccontextmanager
 async def running_store() -> AsyncIterator[tuple[StoreStandin, TaskGroup]]:
+    """Run a store; yield it with a task group that is cancelled at the end."""
     store = StoreStandin()
     async with anyio.create_task_group() as tasks:
         await tasks.start(lambda *, task_status: store.serve(task_status=task_status))
@@ -388,7 +404,11 @@
 
 
 class EntryDeployment(NamedTuple):
-    """A store, two backends and the entry processes on them."""
+    """A store, two endpoints and the entry processes that forward to them.
+
+    ``doors`` are the proxies through which the entry processes reach the store,
+    in the order of ``entries``.
+    """
 
     store: StoreStandin
     doors: list[StoreDoor]
@@ -397,25 +417,28 @@
 
 
 async def answer_all(talk: Conversation) -> None:
+    """Answer every request with ``SIGNED``."""
     while True:
         await talk.request()
         await talk.say(SIGNED)
 
 
 async def served_by(deployment: EntryDeployment, entry: EntryProcessHandle) -> tuple[int, ...]:
-    """Return which backends a request reaches."""
-    before = [len(endpoint.requests) for endpoint in deployment.endpoints]
+    """Send one request to ``entry`` and return how many requests each endpoint received."""
+    counts_before = [len(endpoint.requests) for endpoint in deployment.endpoints]
     await call(entry.front, '/files/1', more='X-Plantainloft-Request-Id: r\r\n')
-    after = [len(endpoint.requests) for endpoint in deployment.endpoints]
-    return tuple(late - early for early, late in zip(before, after, strict=True))
+    counts_after = [len(endpoint.requests) for endpoint in deployment.endpoints]
+    return tuple(new - old for old, new in zip(counts_before, counts_after, strict=True))
 
 
 async def named(entry: EntryProcessHandle) -> int:
+    """Return how many addresses the directory of ``entry`` returns."""
     answer = await call(entry.directory, '/v1/resolve?name=x&region=ankara&zone=ank-a')
     body = answer.partition(b'\r\n\r\n')[2]
     return len(json.loads(body)['addresses']) if body else 0
 
 
 async def followed(entry: EntryProcessHandle) -> bool:
+    """Return whether ``entry`` reports that it follows the store's declarations."""
     metrics = await call(entry.metrics, '/metrics')
     return b'plantainloft_store_followed{table="declarations"} 1' in metrics
