--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Build what the entry process needs into target/deps: its libraries by
-# pinned hash, without test or plotting packages, and the project's sources.
+# Put everything that the entry process needs into target/deps: its libraries,
+# pinned by hash and without test or plotting packages, and the project's sources.
 set -eu
 deps=target/deps
 if [ ! "$deps/.libraries" -nt deploy/requirements.txt ]; then
@@ -14,5 +14,5 @@
     rm -rf "$deps/${package##*/}"
     cp -R "$package" "$deps/"
 done
-# Compiled beforehand: a process that starts compiles nothing.
+# Compile to bytecode now, so that no process has to compile when it starts.
 python3 -m compileall -q "$deps"
