--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Rows of endpoints from whoever wrote them: understood whole or not at all."""
+"""Endpoint rows from untrusted writers: decoded completely or rejected."""
 
 import json
 from typing import Any
@@ -19,7 +19,7 @@
 from plantainloft_platform.documents import decode_row
 
 BORN_MS = 1_777_518_000_301
-# Each field of a row, as the path to it.
+# The path of each required field of an endpoint row.
 FIELDS = (
     ('address',),
     ('info',),
@@ -32,9 +32,11 @@
     ('status', 'seq'),
     ('status', 'cold_left'),
 )
-# What JSON may hold where a field of the named type is expected.
+# JSON values of any type but the one in the name.
 NOT_TEXT = st.one_of(st.none(), st.booleans(), st.integers(), st.floats(), st.lists(st.text()))
-NOT_WHOLE = st.one_of(st.none(), st.booleans(), st.floats(), st.text(), st.integers(max_value=-1))
+NOT_NON_NEGATIVE_INTEGER = st.one_of(
+    st.none(), st.booleans(), st.floats(), st.text(), st.integers(max_value=-1)
+)
 
 
 def row(content: bytes | None) -> NewsRow:
@@ -45,53 +47,53 @@
     return decode_row(row(json.dumps(document).encode()))
 
 
-def changed(path: tuple[str, ...], found: object) -> dict[str, Any]:
-    """A good row with another value at ``path``."""
+def row_with(path: tuple[str, ...], value: object) -> dict[str, Any]:
+    """Return a valid row with the field at ``path`` replaced by ``value``."""
     document = endpoint_row('10.0.0.1:80')
-    inner = document
+    parent = document
     for name in path[:-1]:
-        inner = inner[name]
-    inner[path[-1]] = found
+        parent = parent[name]
+    parent[path[-1]] = value
     return document
 
 
-def test_the_time_of_its_start_is_read() -> None:
+def test_the_start_time_of_an_endpoint_is_decoded() -> None:
     listed = decoded({**endpoint_row('10.0.0.1:80'), 'born': BORN_MS})
     assert isinstance(listed, EndpointListed)
     assert listed.record.born_ms == BORN_MS
     assert listed.record.incarnation != listed.record._replace(born_ms=BORN_MS + 1).incarnation
 
 
-def test_a_row_without_the_time_of_its_start_holds() -> None:
+def test_a_row_without_a_start_time_is_accepted() -> None:
     assert isinstance(decoded(endpoint_row('10.0.0.1:80')), EndpointListed)
 
 
 @pytest.mark.parametrize('path', FIELDS)
-def test_a_row_that_lacks_a_field_names_no_endpoint(path: tuple[str, ...]) -> None:
+def test_a_row_with_a_missing_field_is_rejected(path: tuple[str, ...]) -> None:
     document = endpoint_row('10.0.0.1:80')
-    inner = document
+    parent = document
     for name in path[:-1]:
-        inner = inner[name]
-    inner.pop(path[-1])
+        parent = parent[name]
+    parent.pop(path[-1])
     assert isinstance(decoded(document), EndpointUnreadable)
 
 
-@given(found=NOT_TEXT, path=st.sampled_from([path for path in FIELDS if path[-1] != 'slots']))
-def test_a_field_of_another_type_names_no_endpoint(found: object, path: tuple[str, ...]) -> None:
-    if path[-1] == 'seq' and type(found) is int and found >= 0:
+@given(value=NOT_TEXT, path=st.sampled_from([path for path in FIELDS if path[-1] != 'slots']))
+def test_a_field_of_the_wrong_type_is_rejected(value: object, path: tuple[str, ...]) -> None:
+    if path[-1] == 'seq' and type(value) is int and value >= 0:
         return
-    assert isinstance(decoded(changed(path, found)), EndpointUnreadable)
+    assert isinstance(decoded(row_with(path, value)), EndpointUnreadable)
 
 
-@given(found=NOT_WHOLE)
-def test_what_is_no_whole_number_is_neither_slots_nor_a_start(found: object) -> None:
-    """A start must be whole, and ``true`` is no number though Python counts it as 1."""
-    assert isinstance(decoded(changed(('info', 'slots'), found)), EndpointUnreadable)
-    assert isinstance(decoded(changed(('born',), found)), EndpointUnreadable)
+@given(value=NOT_NON_NEGATIVE_INTEGER)
+def test_slots_and_start_time_must_be_non_negative_integers(value: object) -> None:
+    """``true`` is rejected too, although ``bool`` is a subclass of ``int`` in Python."""
+    assert isinstance(decoded(row_with(('info', 'slots'), value)), EndpointUnreadable)
+    assert isinstance(decoded(row_with(('born',), value)), EndpointUnreadable)
 
 
 @pytest.mark.parametrize(
-    ('path', 'found'),
+    ('path', 'value'),
     [
         (('status', 'state'), 'resting'),
         (('status', 'state'), ''),
@@ -106,22 +108,22 @@
         (('address',), '10.0.0.1:70000'),
     ],
 )
-def test_a_value_that_means_nothing_names_no_endpoint(path: tuple[str, ...], found: object) -> None:
-    assert isinstance(decoded(changed(path, found)), EndpointUnreadable)
+def test_an_invalid_value_is_rejected(path: tuple[str, ...], value: object) -> None:
+    assert isinstance(decoded(row_with(path, value)), EndpointUnreadable)
 
 
 @given(content=st.binary(max_size=200))
-def test_bytes_that_cannot_be_read_name_no_endpoint(content: bytes) -> None:
+def test_undecodable_bytes_are_rejected(content: bytes) -> None:
     assert isinstance(decode_row(row(content)), EndpointUnreadable)
 
 
-def test_nesting_without_end_ends_no_process() -> None:
-    """Symptom: every instance ends at once, and again after each start.
+def test_deeply_nested_json_is_rejected() -> None:
+    """Guards against a row that terminates every instance, again after each start.
 
-    Another writer put deeply nested JSON into the endpoints' table. The
-    decoder gives up with a RecursionError, which passed all handlers.
+    Another writer stored deeply nested JSON in the endpoints table. json.loads
+    raises RecursionError for it, which no handler caught.
     """
     nested = b'[' * 100_000
     assert isinstance(decode_row(row(nested)), EndpointUnreadable)
-    operators = NewsRow(table=DECLARATIONS, key='config', version=1, content=nested)
-    assert isinstance(decode_row(operators), Invalid)
+    operator_row = NewsRow(table=DECLARATIONS, key='config', version=1, content=nested)
+    assert isinstance(decode_row(operator_row), Invalid)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's store and documents, and real entry processes on them."""
+"""The platform adapter: document decoding, store client, real entry processes."""
 
 import json
 import signal
@@ -58,12 +58,12 @@
     assert decode_row(row('i-1', None, table=ENDPOINTS)) == EndpointGone(endpoint_id='i-1')
 
 
-def test_a_row_in_another_format_is_invalid_not_fatal() -> None:
+def test_a_row_in_an_unknown_format_is_invalid_not_fatal() -> None:
     assert isinstance(decode_row(row('config', {'version': 1})), Invalid)
     assert isinstance(decode_row(row('i-1', [], table=ENDPOINTS)), EndpointUnreadable)
 
 
-async def test_the_store_is_listed_and_followed() -> None:
+async def test_rows_are_listed_and_changes_followed() -> None:
     async with running_store() as (standin, tasks):
         store = PlatformStore(address=standin.address)
         for number in range(3):
@@ -71,31 +71,31 @@
         listed = await store.list_rows(ENDPOINTS)
         assert isinstance(listed, News) and len(listed.rows) == 3
 
-        async def later() -> None:
+        async def remove_later() -> None:
             await anyio.sleep(0.05)
             standin.remove(ENDPOINT_TABLE, 'i-1')
 
-        tasks.start_soon(later)
+        tasks.start_soon(remove_later)
         news = await store.changes(ENDPOINTS, after=listed.version, wait_s=2.0)
         assert isinstance(news, News)
-        assert [(one.key, one.content) for one in news.rows] == [('i-1', None)]
+        assert [(changed.key, changed.content) for changed in news.rows] == [('i-1', None)]
 
 
-async def test_what_the_store_does_not_answer_is_an_outcome() -> None:
+async def test_store_failures_are_returned_as_outcomes() -> None:
     async with running_store() as (standin, _):
         store = PlatformStore(address=standin.address)
         standin.forgotten = 5
         assert isinstance(await store.changes(ENDPOINTS, after=1, wait_s=0.1), HistoryLost)
         standin.refusing = True
-        refused = await store.list_rows(ENDPOINTS)
-        assert isinstance(refused, Unreachable) and refused.reason == '503'
+        rejected = await store.list_rows(ENDPOINTS)
+        assert isinstance(rejected, Unreachable) and rejected.reason == '503'
         standin.refusing = False
         standin.silent = True
         assert isinstance(await store.changes(ENDPOINTS, after=9, wait_s=0.1), Unreachable)
     assert isinstance(await store.list_rows(ENDPOINTS), Unreachable)
 
 
-async def test_a_request_is_served_from_end_to_end(deployment: EntryDeployment) -> None:
+async def test_a_request_is_served_end_to_end(deployment: EntryDeployment) -> None:
     entry = deployment.entries[0]
     answer = await call(entry.front, '/files/1', more='X-Plantainloft-Request-Id: r\r\n')
     assert answer.startswith(b'HTTP/1.1 200') and answer.endswith(b'ok')
@@ -107,13 +107,13 @@
     assert b'plantainloft_answer_seconds_usual{service="desk"}' in metrics
 
 
-async def test_a_configuration_reaches_an_instance_that_the_store_refuses(
+async def test_an_instance_refused_by_the_store_gets_the_configuration_from_its_peers(
     deployment: EntryDeployment,
 ) -> None:
-    """Symptom: one instance handles requests by an old configuration.
+    """Guards against one instance routing by an outdated configuration.
 
-    The store refuses it while it serves the others. Their beats tell it of
-    newer rows, and it asks them.
+    The store refuses that instance but serves the others. Their heartbeats
+    announce newer rows, which it then fetches from them.
     """
     first, second = deployment.entries
     await until(lambda: named(second), 2)
@@ -125,7 +125,7 @@
     assert not await followed(first)
 
 
-async def test_an_instance_that_starts_in_an_outage_learns_from_its_peers(
+async def test_an_instance_started_during_a_store_outage_loads_rows_from_its_peers(
     deployment: EntryDeployment,
 ) -> None:
     first, second = deployment.entries
@@ -138,26 +138,26 @@
     assert await served_by(deployment, second) == (1, 0)
 
 
-async def test_a_graceful_stop_cuts_nothing_and_leads_callers_away(
+async def test_a_graceful_stop_finishes_requests_and_removes_the_address(
     deployment: EntryDeployment,
 ) -> None:
     first, second = deployment.entries
     await until(lambda: named(first), 2)
 
-    async def slow(talk: Conversation) -> None:
-        await talk.request()
+    async def answer_slowly(connection: Conversation) -> None:
+        await connection.request()
         await anyio.sleep(0.8)
-        await talk.say(SIGNED)
+        await connection.say(SIGNED)
 
-    deployment.endpoints[0].script = slow
+    deployment.endpoints[0].script = answer_slowly
     answers: list[bytes] = []
 
-    async def ask() -> None:
+    async def send_request() -> None:
         answers.append(await call(second.front, '/notices/1'))
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(ask)
-        await until(lambda: _count(deployment.endpoints[0]), 1)
+        tasks.start_soon(send_request)
+        await until(lambda: _request_count(deployment.endpoints[0]), 1)
         second.signal(signal.SIGTERM)
         await until(lambda: second.status_of(second.ready, '/v1/ready'), 503)
         await until(lambda: named(first), 1)
@@ -166,23 +166,23 @@
     assert second.lines()[-1]['message'] == 'Entry: stopped.'
 
 
-async def _count(endpoint: RawEndpoint) -> int:
+async def _request_count(endpoint: RawEndpoint) -> int:
     return len(endpoint.requests)
 
 
-async def test_invalid_settings_leave_the_old_in_force(deployment: EntryDeployment) -> None:
+async def test_invalid_settings_keep_the_previous_ones_active(deployment: EntryDeployment) -> None:
     entry = deployment.entries[0]
     text = entry.settings.read_text()
     entry.settings.write_text(text.replace('grace = 3s', 'grace = soon\nretries = 4'))
     entry.signal(signal.SIGHUP)
 
-    async def reloads() -> list[str]:
+    async def reload_messages() -> list[str]:
         return [line['message'] for line in entry.lines() if line['kind'] == 'reload']
 
-    await until(reloads, ['Entry: settings not reloaded.'])
+    await until(reload_messages, ['Entry: settings not reloaded.'])
     problems = next(line for line in entry.lines() if line['kind'] == 'reload')['problems']
     assert len(problems) == 2
     assert await entry.status_of(entry.ready, '/v1/ready') == 200
     entry.settings.write_text(text)
     entry.signal(signal.SIGHUP)
-    await until(reloads, ['Entry: settings not reloaded.', 'Entry: settings reloaded.'])
+    await until(reload_messages, ['Entry: settings not reloaded.', 'Entry: settings reloaded.'])
