--- a/packages/ctl/src/plantainloft_ctl/commands/explain.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/explain.py
@@ -1,4 +1,4 @@
-"""``plantainctl explain``: the story of one request, from logs."""
+"""``plantainctl explain``: print the timeline of one request from log files."""
 
 import sys
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 import cappa
 
-from plantainloft_ctl.explaining import read_lines, story_of
+from plantainloft_ctl.explaining import parse_log_lines, story_of
 
 __all__ = ['Explain']
 
@@ -16,15 +16,15 @@
 
 @dataclass(kw_only=True)
 class Explain:
-    """Tell what became of a request, and what its instances believed."""
+    """Show what happened to a request and what its instances knew at the time."""
 
     request: str
     logs: Annotated[list[Path], cappa.Arg(long=True)]
 
     def __call__(self) -> None:
         texts = (path.read_text(encoding='utf-8', errors='replace') for path in self.logs)
-        story = story_of(self.request, read_lines(texts))
-        if not story:
-            print(f'no line names request {self.request}', file=sys.stderr)
+        timeline = story_of(self.request, parse_log_lines(texts))
+        if not timeline:
+            print(f'no log line found for request {self.request}', file=sys.stderr)
             raise cappa.Exit(code=EXIT_NOT_FOUND)
-        print('\n'.join(story))
+        print('\n'.join(timeline))
--- a/packages/ctl/src/plantainloft_ctl/commands/losses.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/losses.py
@@ -1,4 +1,4 @@
-"""``plantainctl losses``: where callers lost, from logs, as table and plot."""
+"""``plantainctl losses``: summarise late and unserved requests from log files."""
 
 import sys
 from collections.abc import Callable, Mapping
@@ -9,22 +9,29 @@
 
 import cappa
 
-from plantainloft_ctl.explaining import read_lines
-from plantainloft_ctl.losses import Loss, LossTable, left_out_by_kind, losses_of, table_of
+from plantainloft_ctl.explaining import parse_log_lines
+from plantainloft_ctl.losses import (
+    Loss,
+    LossTable,
+    count_by_group,
+    count_unlogged_losses,
+    find_losses,
+)
 from plantainloft_ctl.plot import plot_losses
 
 __all__ = ['Losses']
 
-EXIT_NOTHING = 4
+EXIT_NO_LOSSES = 4
 Grouping = Literal['route', 'zone', 'moment']
 
 
 @dataclass(kw_only=True)
 class Losses:
-    """Count late, refused and failed requests by reason.
+    """Count late, refused, failed and abandoned requests by reason.
 
-    ``by`` groups them; ``every`` is the length of a moment in seconds;
-    ``plot`` writes the counts over time as PNG as well.
+    ``by`` selects how they are grouped. ``moment`` groups them by time, in
+    periods of ``every`` seconds. ``plot`` also writes the counts per period as
+    PNG.
     """
 
     logs: Annotated[list[Path], cappa.Arg(long=True)]
@@ -34,22 +41,24 @@
 
     def __call__(self) -> None:
         texts = (path.read_text(encoding='utf-8', errors='replace') for path in self.logs)
-        lines = read_lines(texts)
-        losses = losses_of(lines)
+        lines = parse_log_lines(texts)
+        losses = find_losses(lines)
         if not losses:
-            print('no request was lost', file=sys.stderr)
-            raise cappa.Exit(code=EXIT_NOTHING)
-        groupings = _groupings(began=lines[0]['t'], every_s=self.every)
-        _print_table(table_of(losses, groupings[self.by]))
-        for kind, count in sorted(left_out_by_kind(lines).items()):
-            print(f'not in the logs, which are bounded: {count} more of kind {kind}')
+            print('no late or unserved requests found', file=sys.stderr)
+            raise cappa.Exit(code=EXIT_NO_LOSSES)
+        group_name_functions = _group_name_functions(start=lines[0]['t'], every_s=self.every)
+        _print_table(count_by_group(losses, group_name_functions[self.by]))
+        for kind, count in sorted(count_unlogged_losses(lines).items()):
+            print(f'not in the logs because of their rate limit: {count} more of kind {kind}')
         if self.plot is not None:
-            plot_losses(table_of(losses, groupings['moment']), self.plot)
+            plot_losses(count_by_group(losses, group_name_functions['moment']), self.plot)
 
 
-def _groupings(*, began: float, every_s: float) -> Mapping[Grouping, Callable[[Loss], str]]:
+def _group_name_functions(
+    *, start: float, every_s: float
+) -> Mapping[Grouping, Callable[[Loss], str]]:
     def moment(loss: Loss) -> str:
-        return f'{int((loss.at - began) / every_s) * every_s:8.1f} s'
+        return f'{int((loss.at - start) / every_s) * every_s:8.1f} s'
 
     return MappingProxyType(
         {'route': lambda loss: loss.route, 'zone': lambda loss: loss.zone, 'moment': moment}
@@ -60,8 +69,8 @@
     for number, reason in enumerate(table.reasons):
         total = sum(group.count_by_reason.get(reason, 0) for group in table.groups)
         print(f'({number}) {reason}: {total}')
-    heads = ''.join(f'{f"({number})":>7}' for number in range(len(table.reasons)))
-    print(f'{"":<16}{"all":>7}{heads}')
+    headings = ''.join(f'{f"({number})":>7}' for number in range(len(table.reasons)))
+    print(f'{"":<16}{"all":>7}{headings}')
     for group in table.groups:
         counts = ''.join(f'{group.count_by_reason.get(name, 0):>7}' for name in table.reasons)
         print(f'{group.name:<16}{group.total:>7}{counts}')
--- a/packages/ctl/src/plantainloft_ctl/commands/status.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/status.py
@@ -1,4 +1,4 @@
-"""``plantainctl status``: several entry instances side by side."""
+"""``plantainctl status``: compare several entry instances."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -6,7 +6,7 @@
 import cappa
 import httpx
 
-from plantainloft_ctl.gauges import status_of, status_table
+from plantainloft_ctl.gauges import format_status_table, parse_status
 
 __all__ = ['Status']
 
@@ -15,7 +15,10 @@
 
 @dataclass(kw_only=True)
 class Status:
-    """Show versions, members and endpoints from metrics addresses."""
+    """Compare configuration version, members and endpoints of entry instances.
+
+    ``nodes`` are their metrics URLs.
+    """
 
     nodes: Annotated[list[str], cappa.Arg(long=True)]
 
@@ -23,10 +26,10 @@
         statuses = []
         for url in self.nodes:
             try:
-                answer = httpx.get(url, timeout=TIMEOUT_S)
+                response = httpx.get(url, timeout=TIMEOUT_S)
             except httpx.HTTPError as exc:
                 print(f'{url}: {type(exc).__name__}')
                 continue
             address = httpx.URL(url).netloc.decode()
-            statuses.append(status_of(address, answer.text))
-        print('\n'.join(status_table(statuses)))
+            statuses.append(parse_status(address, response.text))
+        print('\n'.join(format_status_table(statuses)))
--- a/packages/ctl/src/plantainloft_ctl/explaining.py
+++ b/packages/ctl/src/plantainloft_ctl/explaining.py
@@ -1,76 +1,76 @@
-"""Join the log lines of several instances into one request's story."""
+"""Merge the log lines of several instances into the timeline of one request."""
 
 import json
 from collections.abc import Iterable
 from datetime import UTC, datetime
 from typing import Any
 
-__all__ = ['read_lines', 'story_of']
+__all__ = ['parse_log_lines', 'story_of']
 
-# Lines of these kinds tell what an instance believed when it decided.
-BACKGROUND = frozenset(
+# Kinds of log lines that show what an instance knew when it made a decision.
+CONTEXT_KINDS = frozenset(
     ('belief', 'store_lost', 'store_regained', 'store_history', 'reload', 'quarantine')
 )
-# What happened this long before the request may have decided it: the
-# bounds on news, with room.
+# Events this long before a request may have influenced how it was handled:
+# the bounds on how long updates take to reach an instance, plus a margin.
 LOOK_BACK_S = 10.0
-# What was learned just after shows what the request was too early for.
+# Updates received shortly after the request show what it missed.
 LOOK_AHEAD_S = 3.0
-_SHOWN_APART = frozenset(('t', 'level', 'instance', 'kind', 'message', 'request'))
+_FIXED_FIELDS = frozenset(('t', 'level', 'instance', 'kind', 'message', 'request'))
 
 LogLine = dict[str, Any]
 
 
-def read_lines(texts: Iterable[str]) -> list[LogLine]:
-    """Return the structured lines of ``texts``, in order of their time.
+def parse_log_lines(texts: Iterable[str]) -> list[LogLine]:
+    """Parse the structured log lines of ``texts`` and sort them by time.
 
-    Lines of another format (a traceback, another program's) are left out.
+    Lines in another format, such as tracebacks, are skipped.
     """
     lines = []
     for text in texts:
-        for raw in text.splitlines():
-            line = _parsed(raw)
+        for text_line in text.splitlines():
+            line = _parse_line(text_line)
             if line is not None:
                 lines.append(line)
     return sorted(lines, key=lambda line: float(line['t']))
 
 
 def story_of(request: str, lines: list[LogLine]) -> list[str]:
-    """Return the dated story of ``request``; empty if no line names it.
+    """Return the timeline of ``request``; empty if no line mentions it.
 
-    The request's own lines are marked ``*``; the others tell what the
+    Lines about the request itself are marked ``*``. The others show what the
     instances that handled it learned around that time.
     """
-    own = [line for line in lines if line.get('request') == request]
-    if not own:
+    request_lines = [line for line in lines if line.get('request') == request]
+    if not request_lines:
         return []
-    instances = {line['instance'] for line in own}
-    began = own[0]['t'] - LOOK_BACK_S
-    ended = own[-1]['t'] + LOOK_AHEAD_S
+    instances = {line['instance'] for line in request_lines}
+    since = request_lines[0]['t'] - LOOK_BACK_S
+    until = request_lines[-1]['t'] + LOOK_AHEAD_S
     return [
-        _told(line, mark='*' if line in own else ' ')
+        _format_line(line, mark='*' if line in request_lines else ' ')
         for line in lines
-        if line in own or _is_background(line, instances, began, ended)
+        if line in request_lines or _is_context(line, instances, since, until)
     ]
 
 
-def _parsed(raw: str) -> LogLine | None:
+def _parse_line(text_line: str) -> LogLine | None:
     try:
-        line = json.loads(raw[raw.index('{') :])
+        line = json.loads(text_line[text_line.index('{') :])
     except ValueError:
         return None
     return line if isinstance(line, dict) and 't' in line and 'instance' in line else None
 
 
-def _is_background(line: LogLine, instances: set[str], began: float, ended: float) -> bool:
-    if line['instance'] not in instances or line.get('kind') not in BACKGROUND:
+def _is_context(line: LogLine, instances: set[str], since: float, until: float) -> bool:
+    if line['instance'] not in instances or line.get('kind') not in CONTEXT_KINDS:
         return False
-    return bool(began <= line['t'] <= ended)
+    return bool(since <= line['t'] <= until)
 
 
-def _told(line: LogLine, *, mark: str) -> str:
-    moment = datetime.fromtimestamp(line['t'], tz=UTC).strftime('%H:%M:%S.%f')[:-3]
+def _format_line(line: LogLine, *, mark: str) -> str:
+    timestamp = datetime.fromtimestamp(line['t'], tz=UTC).strftime('%H:%M:%S.%f')[:-3]
     fields = ', '.join(
-        f'{name}={field}' for name, field in line.items() if name not in _SHOWN_APART
+        f'{name}={value}' for name, value in line.items() if name not in _FIXED_FIELDS
     )
-    return f'{mark} {moment}  {line["instance"]:<16} {line["message"]} {fields}'.rstrip()
+    return f'{mark} {timestamp}  {line["instance"]:<16} {line["message"]} {fields}'.rstrip()
--- a/packages/ctl/src/plantainloft_ctl/gauges.py
+++ b/packages/ctl/src/plantainloft_ctl/gauges.py
@@ -1,16 +1,19 @@
-"""Read metrics in text exposition and show instances side by side."""
+"""Parse metrics in the Prometheus text format and compare instances."""
 
 import re
 from typing import NamedTuple
 
-__all__ = ['InstanceStatus', 'status_of', 'status_table']
+__all__ = ['InstanceStatus', 'format_status_table', 'parse_status']
 
-SERIES = re.compile(r'^plantainloft_(\w+)(?:\{(.*)\})? (\S+)$')
-LABEL = re.compile(r'(\w+)="([^"]*)"')
+SERIES_PATTERN = re.compile(r'^plantainloft_(\w+)(?:\{(.*)\})? (\S+)$')
+LABEL_PATTERN = re.compile(r'(\w+)="([^"]*)"')
 
 
 class InstanceStatus(NamedTuple):
-    """What one instance says of itself."""
+    """The state that one instance reports in its metrics.
+
+    ``lost_tables`` are the store tables that it currently cannot follow.
+    """
 
     address: str
     version: int
@@ -21,19 +24,19 @@
     endpoints_by_state: dict[str, int]
 
 
-def status_of(address: str, text: str) -> InstanceStatus:
-    """Return the status in the metrics ``text`` of one instance."""
+def parse_status(address: str, text: str) -> InstanceStatus:
+    """Parse the metrics ``text`` of the instance at ``address``."""
     gauges: dict[str, float] = {}
     lost: list[str] = []
     endpoints: dict[str, int] = {}
-    for name, labels, reading in _series(text):
-        if name == 'store_followed' and not reading:
+    for name, labels, value in _parse_series(text):
+        if name == 'store_followed' and not value:
             lost.append(labels['table'])
         elif name == 'endpoints':
             state = labels['state']
-            endpoints[state] = endpoints.get(state, 0) + int(reading)
+            endpoints[state] = endpoints.get(state, 0) + int(value)
         elif not labels:
-            gauges[name] = reading
+            gauges[name] = value
     return InstanceStatus(
         address=address,
         version=int(gauges.get('configuration_version', 0)),
@@ -45,8 +48,8 @@
     )
 
 
-def status_table(statuses: list[InstanceStatus]) -> list[str]:
-    """Return one line an instance, under a heading."""
+def format_status_table(statuses: list[InstanceStatus]) -> list[str]:
+    """Format ``statuses`` as table lines: a heading, then one line per instance."""
     lines = ['instance              version  age s  members  open  listed cold drain out  store']
     newest = max((status.version for status in statuses), default=0)
     for status in statuses:
@@ -56,10 +59,10 @@
         ]
         mark = '' if status.version == newest else ' (old)'
         store = f'lost: {", ".join(status.lost_tables)}' if status.lost_tables else 'followed'
-        shown = '  '.join(f'{count:>4}' for count in counts)
+        endpoint_columns = '  '.join(f'{count:>4}' for count in counts)
         lines.append(
             f'{status.address:<20} {status.version:>8} {status.version_age_s:>6.0f}'
-            f' {status.members_up:>8} {status.in_progress:>5}  {shown}  {store}{mark}'
+            f' {status.members_up:>8} {status.in_progress:>5}  {endpoint_columns}  {store}{mark}'
         )
     return lines
 
@@ -67,14 +70,14 @@
 class _Series(NamedTuple):
     name: str
     labels: dict[str, str]
-    reading: float
+    value: float
 
 
-def _series(text: str) -> list[_Series]:
-    found = []
+def _parse_series(text: str) -> list[_Series]:
+    series = []
     for line in text.splitlines():
-        match = SERIES.match(line)
+        match = SERIES_PATTERN.match(line)
         if match is not None:
-            name, labels, reading = match.groups()
-            found.append(_Series(name, dict(LABEL.findall(labels or '')), float(reading)))
-    return found
+            name, labels, value = match.groups()
+            series.append(_Series(name, dict(LABEL_PATTERN.findall(labels or '')), float(value)))
+    return series
--- a/packages/ctl/src/plantainloft_ctl/plot.py
+++ b/packages/ctl/src/plantainloft_ctl/plot.py
@@ -1,4 +1,4 @@
-"""Draw reports as PNG bar charts."""
+"""Render reports as bar charts in PNG files."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -18,29 +18,29 @@
 WIDTH_IN = 6.0
 HEIGHT_IN = 3.5
 DPI = 100
-# Wide enough for a day's moments side by side.
+# Wide enough for the time groups of a whole day.
 TIMELINE_WIDTH_IN = 12.0
-UPRIGHT = 90.0
+VERTICAL_LABEL_DEGREES = 90.0
 
 
 def plot_burn(rows: list[BurnRow], path: Path) -> None:
-    """Write a bar chart of burn rate per service to ``path`` (PNG).
+    """Write a bar chart of the burn rate per service to ``path``.
 
-    A dashed line marks a burn rate of 1: the budget spent exactly over
-    the objective's window.
+    A dashed line marks burn rate 1, which consumes the error budget exactly
+    over the objective's window.
     """
     figure, axes = plt.subplots(figsize=(WIDTH_IN, HEIGHT_IN), dpi=DPI)
     axes.bar([row.service for row in rows], [row.burn_rate for row in rows], color='tab:orange')
     axes.axhline(1.0, color='black', linestyle='--', linewidth=1)
-    axes.set_ylabel('burn rate (1 = budget spent on time)')
-    axes.set_title('service-level burn')
+    axes.set_ylabel('burn rate (1 = budget consumed over the window)')
+    axes.set_title('error-budget burn rate')
     figure.tight_layout()
     figure.savefig(path)
     plt.close(figure)
 
 
 def plot_losses(table: LossTable, path: Path) -> None:
-    """Write the losses of each moment, stacked by reason, to ``path`` (PNG)."""
+    """Write a bar chart of losses per group, stacked by reason, to ``path``."""
     _plot_stacked(
         path,
         names=[group.name.strip() for group in table.groups],
@@ -54,7 +54,7 @@
 
 
 def plot_organisations(rows: list[OrganisationRow], path: Path) -> None:
-    """Write what each organisation uses, stacked by instance, to ``path`` (PNG)."""
+    """Write a bar chart of usage per organisation, stacked by instance, to ``path``."""
     instances = sorted({instance for row in rows for instance in row.used_by_instance})
     _plot_stacked(
         path,
@@ -63,8 +63,8 @@
             instance: [row.used_by_instance.get(instance, 0) for row in rows]
             for instance in instances
         },
-        unit='requests of a window',
-        title='use of limits by instance',
+        unit='requests per window',
+        title='limit usage by instance',
     )
 
 
@@ -76,15 +76,15 @@
     unit: str,
     title: str,
 ) -> None:
-    """Write a bar for each name, its counts stacked by label."""
+    """Write a chart with one bar per name, its counts stacked by label."""
     figure, axes = plt.subplots(figsize=(TIMELINE_WIDTH_IN, HEIGHT_IN), dpi=DPI)
     bottoms = [0 for _ in names]
     for label, counts in counts_by_label.items():
         axes.bar(names, counts, bottom=bottoms, label=label)
-        bottoms = [below + count for below, count in zip(bottoms, counts, strict=True)]
+        bottoms = [bottom + count for bottom, count in zip(bottoms, counts, strict=True)]
     axes.set_ylabel(unit)
     axes.set_title(title)
-    axes.tick_params(axis='x', labelrotation=UPRIGHT)
+    axes.tick_params(axis='x', labelrotation=VERTICAL_LABEL_DEGREES)
     axes.legend(fontsize='small')
     figure.tight_layout()
     figure.savefig(path)
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -1,16 +1,16 @@
-"""From a request's id to its story; instances side by side."""
+"""The timeline of a request from logs, and the comparison of instances."""
 
 import json
 
-from plantainloft_ctl.explaining import read_lines, story_of
-from plantainloft_ctl.gauges import status_of, status_table
+from plantainloft_ctl.explaining import parse_log_lines, story_of
+from plantainloft_ctl.gauges import format_status_table, parse_status
 
 
 def line(at: float, instance: str, kind: str, message: str, **fields: object) -> str:
     return json.dumps({'t': at, 'instance': instance, 'kind': kind, 'message': message, **fields})
 
 
-def test_the_story_joins_instances_and_what_they_believed() -> None:
+def test_the_timeline_merges_instances_and_their_context() -> None:
     first = '\n'.join(
         (
             line(100.0, 'e1', 'store_lost', 'Store: declarations not followed.'),
@@ -26,15 +26,15 @@
             line(104.6, 'e2', 'answered', 'Front: request answered.', request='r2'),
         )
     )
-    story = story_of('r1', read_lines([second, first]))
-    assert len(story) == 3
-    assert 'not followed' in story[0] and story[0].startswith(' ')
-    assert 'reason=full' in story[1] and story[1].startswith('*')
-    assert 'e2' in story[2]
+    timeline = story_of('r1', parse_log_lines([second, first]))
+    assert len(timeline) == 3
+    assert 'not followed' in timeline[0] and timeline[0].startswith(' ')
+    assert 'reason=full' in timeline[1] and timeline[1].startswith('*')
+    assert 'e2' in timeline[2]
 
 
-def test_no_line_no_story() -> None:
-    assert story_of('r9', read_lines([line(1.0, 'e1', 'answered', 'x', request='r1')])) == []
+def test_a_request_without_log_lines_has_an_empty_timeline() -> None:
+    assert story_of('r9', parse_log_lines([line(1.0, 'e1', 'answered', 'x', request='r1')])) == []
 
 
 METRICS = """plantainloft_configuration_version 3
@@ -46,10 +46,10 @@
 """
 
 
-def test_an_instance_that_lags_stands_out() -> None:
-    old = status_of('e1:9464', METRICS)
+def test_an_instance_with_an_old_version_is_marked() -> None:
+    old = parse_status('e1:9464', METRICS)
     assert old.endpoints_by_state == {'listed': 6}
-    new = status_of('e2:9464', METRICS.replace('version 3', 'version 4').replace(' 0\n', ' 1\n'))
-    table = status_table([old, new])
+    new = parse_status('e2:9464', METRICS.replace('version 3', 'version 4').replace(' 0\n', ' 1\n'))
+    table = format_status_table([old, new])
     assert '(old)' in table[1] and 'lost: declarations' in table[1]
     assert 'followed' in table[2] and '(old)' not in table[2]
