--- a/packages/ctl/src/plantainloft_ctl/__init__.py
+++ b/packages/ctl/src/plantainloft_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The plantainloft operator tool."""
+"""The ``plantainctl`` command-line tool for operators."""
--- a/packages/ctl/src/plantainloft_ctl/burn.py
+++ b/packages/ctl/src/plantainloft_ctl/burn.py
@@ -1,8 +1,9 @@
-"""The service-level burn report: how fast each service spends its budget.
+"""The error-budget burn report: how fast each service consumes its budget.
 
-A request is good when it was served within its service's latency
-objective. Burn rate = (bad share) / (1 - objective): 1.0 spends the
-error budget exactly over the objective's window; above 1, faster.
+A request is good if it was served within the latency objective of its
+service. Burn rate = (share of bad requests) / (1 - objective). A rate of 1.0
+consumes the error budget exactly over the objective's window; a higher rate
+consumes it sooner.
 """
 
 from collections.abc import Mapping, Sequence
@@ -10,14 +11,15 @@
 
 __all__ = ['BurnRow', 'burn_rows', 'format_burn']
 
-OBJECTIVE = 0.999
+GOOD_SHARE_OBJECTIVE = 0.999
 
 
 class BurnRow(NamedTuple):
-    """One service's burn on the nodes asked.
+    """The burn rate of one service, over all nodes queried.
 
-    ``bad`` requests were not served, or served ``late``: after the
-    service's latency objective.
+    ``late`` requests were served after the service's latency objective;
+    ``bad`` requests were late or not served at all. ``p50_ms`` and ``p99_ms``
+    are the highest of any node.
     """
 
     service: str
@@ -30,9 +32,9 @@
 
 
 def burn_rows(
-    statuses: Sequence[Mapping[str, Any]], *, objective: float = OBJECTIVE
+    statuses: Sequence[Mapping[str, Any]], *, objective: float = GOOD_SHARE_OBJECTIVE
 ) -> list[BurnRow]:
-    """Sum node statuses into one row per service, by service name."""
+    """Aggregate node statuses into one row per service, sorted by service name."""
     totals: dict[str, list[float]] = {}
     for status in statuses:
         for service, stats in status['stats'].items():
@@ -47,14 +49,14 @@
             row[4] = max(row[4], stats['p99_ms'])
     rows = []
     for service, (total, bad, late, p50, p99) in sorted(totals.items()):
-        share = bad / total if total else 0.0
+        bad_share = bad / total if total else 0.0
         rows.append(
             BurnRow(
                 service=service,
                 requests=int(total),
                 bad=int(bad),
                 late=int(late),
-                burn_rate=share / (1 - objective),
+                burn_rate=bad_share / (1 - objective),
                 p50_ms=p50,
                 p99_ms=p99,
             )
@@ -63,7 +65,7 @@
 
 
 def format_burn(rows: list[BurnRow]) -> str:
-    """Render rows as a fixed-width text table."""
+    """Format ``rows`` as a fixed-width text table."""
     lines = [
         f'{"service":<16}{"requests":>10}{"bad":>8}{"late":>8}{"burn":>8}{"p50 ms":>9}{"p99 ms":>9}'
     ]
--- a/packages/ctl/src/plantainloft_ctl/commands/__init__.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the ``plantainctl`` binary, one module each."""
+"""The ``plantainctl`` commands, one per module."""
--- a/packages/ctl/src/plantainloft_ctl/commands/burn.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/burn.py
@@ -1,4 +1,4 @@
-"""``plantainctl burn``: the service-level burn report of some nodes."""
+"""``plantainctl burn``: report how fast services consume their error budget."""
 
 import sys
 from dataclasses import dataclass
@@ -18,19 +18,23 @@
 
 @dataclass(kw_only=True)
 class Burn:
-    """Ask entry instances for their counts and print the burn report."""
+    """Query instances for request counts and print the error-budget burn report.
+
+    ``nodes`` are base URLs of the instances; ``plot`` also writes a bar chart
+    as PNG.
+    """
 
     nodes: Annotated[list[str], cappa.Arg(long=True)]
     plot: Annotated[Path | None, cappa.Arg(long=True)] = None
 
     def __call__(self) -> None:
         statuses = []
-        for address in self.nodes:
+        for url in self.nodes:
             try:
-                statuses.append(httpx.get(f'{address}/v1/status', timeout=TIMEOUT_S).json())
+                statuses.append(httpx.get(f'{url}/v1/status', timeout=TIMEOUT_S).json())
             except httpx.HTTPError as exc:
                 print(
-                    f'burn: {address} did not answer ({type(exc).__name__})',
+                    f'burn: no response from {url} ({type(exc).__name__})',
                     file=sys.stderr,
                 )
         rows = burn_rows(statuses)
--- a/packages/ctl/src/plantainloft_ctl/commands/history.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/history.py
@@ -1,4 +1,4 @@
-"""``plantainctl history``: list the versions, newest first."""
+"""``plantainctl history``: list configuration versions, newest first."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -7,20 +7,20 @@
 
 from plantainloft_core.outcomes import Invalid, Unreachable
 from plantainloft_core.versions import Change, read_change, read_head
-from plantainloft_ctl.common import DEFAULT_TABLE, fail, with_table
+from plantainloft_ctl.common import DEFAULT_TABLE_URL, exit_with_error, run_with_table
 
 __all__ = ['History']
 
 
 @dataclass(kw_only=True)
 class History:
-    """List the latest versions: number, author, the patch's operations."""
+    """List recent configuration versions with their author and patch operations."""
 
-    table: Annotated[str, cappa.Arg(long=True)] = DEFAULT_TABLE
+    table: Annotated[str, cappa.Arg(long=True)] = DEFAULT_TABLE_URL
     limit: Annotated[int, cappa.Arg(long=True)] = 20
 
     def __call__(self) -> None:
-        async def work(client):  # type: ignore[no-untyped-def]
+        async def read_versions(client):  # type: ignore[no-untyped-def]
             head = await read_head(client)
             if isinstance(head, Unreachable):
                 return head
@@ -29,11 +29,11 @@
                 versions.append(await read_change(client, number))
             return versions
 
-        listed = with_table(self.table, work)
-        if isinstance(listed, Unreachable):
-            fail(listed)
+        versions = run_with_table(self.table, read_versions)
+        if isinstance(versions, Unreachable):
+            exit_with_error(versions)
             return
-        for stored in listed:
-            if isinstance(stored, Change):
-                ops = ', '.join(f'{op["op"]} {op["path"]}' for op in stored.patch)
-                print(f'{stored.number:>6}  {stored.author:<12}  {ops}')
+        for change in versions:
+            if isinstance(change, Change):
+                ops = ', '.join(f'{op["op"]} {op["path"]}' for op in change.patch)
+                print(f'{change.number:>6}  {change.author:<12}  {ops}')
--- a/packages/ctl/src/plantainloft_ctl/commands/quarantine.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/quarantine.py
@@ -1,4 +1,4 @@
-"""``plantainctl quarantine``: requests that are shut out, and lifting one."""
+"""``plantainctl quarantine``: list quarantined requests or release one."""
 
 import sys
 from dataclasses import dataclass
@@ -17,10 +17,11 @@
 
 @dataclass(kw_only=True)
 class Quarantine:
-    """List the requests that crash endpoints, or have one sent again.
+    """List requests quarantined for crashing endpoints, or release one.
 
-    ``node`` is the metrics address of an entry instance, or the address of the
-    product's own interface with ``/v1``.
+    ``node`` is the metrics URL of an entry instance, or the URL of the
+    product's own interface followed by ``/v1``. ``lift`` is the request to
+    release: it is forwarded to endpoints again.
     """
 
     node: Annotated[str, cappa.Arg(long=True)]
@@ -28,33 +29,33 @@
 
     def __call__(self) -> None:
         try:
-            self._run(self.node.rstrip('/'))
+            self._list_or_lift(self.node.rstrip('/'))
         except httpx.HTTPError as exc:
             print(f'{self.node}: {type(exc).__name__}', file=sys.stderr)
             raise cappa.Exit(code=EXIT_FAILED) from exc
 
-    def _run(self, base: str) -> None:
+    def _list_or_lift(self, base_url: str) -> None:
         if self.lift is None:
-            listed = httpx.get(f'{base}/quarantine', timeout=TIMEOUT_S)
-            print('\n'.join(quarantine_table(listed.raise_for_status().json())))
+            response = httpx.get(f'{base_url}/quarantine', timeout=TIMEOUT_S)
+            print('\n'.join(format_quarantine_table(response.raise_for_status().json())))
             return
-        answer = httpx.post(
-            f'{base}/quarantine/lift', params={'request': self.lift}, timeout=TIMEOUT_S
+        response = httpx.post(
+            f'{base_url}/quarantine/lift', params={'request': self.lift}, timeout=TIMEOUT_S
         )
-        answer.raise_for_status()
-        print(f'{self.lift} is sent again')
+        response.raise_for_status()
+        print(f'quarantine lifted: {self.lift} is forwarded again')
 
 
-def quarantine_table(listed: list[dict[str, object]]) -> list[str]:
-    """Return the lines of a table, one a request."""
+def format_quarantine_table(quarantined: list[dict[str, object]]) -> list[str]:
+    """Format quarantined requests as table lines, one per request."""
     rows = [
         (
-            str(one['request']),
-            str(one['crashes']),
-            f'{one["last_crash_s_ago"]} s ago',
-            f'{one["tried_again_in_s"]} s',
+            str(entry['request']),
+            str(entry['crashes']),
+            f'{entry["last_crash_s_ago"]} s ago',
+            f'{entry["tried_again_in_s"]} s',
         )
-        for one in listed
+        for entry in quarantined
     ]
     widths = [max(map(len, column)) for column in zip(HEADINGS, *rows, strict=True)]
     return [
--- a/packages/ctl/src/plantainloft_ctl/commands/submit.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/submit.py
@@ -1,4 +1,4 @@
-"""``plantainctl submit``: submit a patch against a numbered version."""
+"""``plantainctl submit``: submit a patch to a specific configuration version."""
 
 import json
 import sys
@@ -12,10 +12,10 @@
 from plantainloft_core.committing import commit_patch
 from plantainloft_core.outcomes import Committed, Conflict
 from plantainloft_ctl.common import (
-    DEFAULT_TABLE,
+    DEFAULT_TABLE_URL,
     EXIT_REFUSED,
-    fail,
-    with_table,
+    exit_with_error,
+    run_with_table,
 )
 
 __all__ = ['Submit']
@@ -23,22 +23,25 @@
 
 @dataclass(kw_only=True)
 class Submit:
-    """Submit an RFC 6902 JSON Patch against version ``against``."""
+    """Submit a JSON Patch (RFC 6902) against version ``against``.
+
+    The patch is rejected if that is no longer the current version.
+    """
 
     patch: Annotated[Path, cappa.Arg(long=True)]
     against: Annotated[int, cappa.Arg(long=True)]
     author: Annotated[str, cappa.Arg(long=True)] = 'operator'
-    table: Annotated[str, cappa.Arg(long=True)] = DEFAULT_TABLE
+    table: Annotated[str, cappa.Arg(long=True)] = DEFAULT_TABLE_URL
 
     def __call__(self) -> None:
-        operations = json.loads(self.patch.read_text(encoding='utf-8'))
+        patch = json.loads(self.patch.read_text(encoding='utf-8'))
         change_id = uuid.uuid4().hex
-        outcome = with_table(
+        outcome = run_with_table(
             self.table,
             lambda client: commit_patch(
                 client,
                 against=self.against,
-                patch=operations,
+                patch=patch,
                 author=self.author,
                 change_id=change_id,
             ),
@@ -53,4 +56,4 @@
             )
             raise cappa.Exit(code=EXIT_REFUSED)
         else:
-            fail(outcome)
+            exit_with_error(outcome)
--- a/packages/ctl/src/plantainloft_ctl/common.py
+++ b/packages/ctl/src/plantainloft_ctl/common.py
@@ -1,4 +1,4 @@
-"""What the commands of ``plantainctl`` share: the table, printing."""
+"""Helpers shared by the ``plantainctl`` commands: table access and output."""
 
 import json
 import sys
@@ -11,9 +11,9 @@
 from plantainloft_core.outcomes import Invalid, Unreachable
 from plantainloft_core.table_client import TableClient
 
-__all__ = ['DEFAULT_TABLE', 'fail', 'print_json', 'with_table']
+__all__ = ['DEFAULT_TABLE_URL', 'exit_with_error', 'print_json', 'run_with_table']
 
-DEFAULT_TABLE = 'http://127.0.0.1:7400'
+DEFAULT_TABLE_URL = 'http://127.0.0.1:7400'
 TIMEOUT_S = 2.0
 EXIT_FAILED = 1
 EXIT_REFUSED = 3
@@ -21,21 +21,21 @@
 Result = TypeVar('Result')
 
 
-def with_table(table_url: str, work: Callable[[TableClient], Awaitable[Result]]) -> Result:
-    """Run ``work`` with a client of the table at ``table_url``."""
+def run_with_table(table_url: str, operation: Callable[[TableClient], Awaitable[Result]]) -> Result:
+    """Run ``operation`` with a client for the table service at ``table_url``."""
 
-    async def run() -> Result:
+    async def run_operation() -> Result:
         client = TableClient(base_url=table_url, timeout_s=TIMEOUT_S)
         try:
-            return await work(client)
+            return await operation(client)
         finally:
             await client.close()
 
-    return anyio.run(run)
+    return anyio.run(run_operation)
 
 
-def fail(outcome: Unreachable | Invalid) -> None:
-    """Print why a command failed and exit non-zero."""
+def exit_with_error(outcome: Unreachable | Invalid) -> None:
+    """Print why the command failed to standard error and exit with a non-zero status."""
     if isinstance(outcome, Invalid):
         for problem in outcome.problems:
             print(f'invalid: {problem}', file=sys.stderr)
--- a/packages/ctl/src/plantainloft_ctl/main.py
+++ b/packages/ctl/src/plantainloft_ctl/main.py
@@ -1,4 +1,4 @@
-"""The ``plantainctl`` binary."""
+"""Entry point of the ``plantainctl`` command-line tool."""
 
 from dataclasses import dataclass
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class Plantainctl:
-    """The operator tool of plantainloft."""
+    """Inspect and configure a plantainloft deployment."""
 
     command: cappa.Subcommands[
         Show
@@ -36,5 +36,5 @@
 
 
 def main() -> None:
-    """Parse the command line and run the command."""
+    """Parse the command line and run the selected command."""
     cappa.invoke(Plantainctl)
--- a/packages/ctl/src/plantainloft_ctl/organisations.py
+++ b/packages/ctl/src/plantainloft_ctl/organisations.py
@@ -1,23 +1,24 @@
-"""Organisations and their use of their limits, put together from instances."""
+"""Aggregate the organisations reported by several instances, with their usage."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
 
-# An organisation as one instance lists it, and all that it lists.
-Entry = Mapping[str, Any]
-Listing = Sequence[Entry]
+# One organisation as reported by an instance, and the whole list of an instance.
+OrganisationEntry = Mapping[str, Any]
+InstanceListing = Sequence[OrganisationEntry]
 
-__all__ = ['OrganisationRow', 'holders_of', 'organisation_rows', 'organisation_table']
+__all__ = ['OrganisationRow', 'find_key_holders', 'format_organisation_table', 'organisation_rows']
 
 HEADINGS = ('organisation', 'keys', 'rate', 'burst', 'used', 'wanted', 'refused', 'most at')
 
 
 class OrganisationRow(NamedTuple):
-    """An organisation over the instances asked.
+    """An organisation, aggregated over the instances queried.
 
-    ``rate`` is requests a second, 0 for no limit; ``used`` and ``wanted`` are
-    requests of one window, ``refused`` those since the instances started;
-    ``used_by_instance`` and ``share_by_instance`` are of one window each.
+    ``keys`` is its number of keys. ``rate`` is in requests per second, 0 for no
+    limit. ``used``, ``wanted``, ``used_by_instance`` and ``share_by_instance``
+    are requests in one window of the limit; ``refused`` counts requests since
+    the instances started.
     """
 
     name: str
@@ -32,48 +33,50 @@
 
 
 def organisation_rows(
-    listed_by_instance: Mapping[str, Listing],
+    organisations_by_instance: Mapping[str, InstanceListing],
 ) -> list[OrganisationRow]:
-    """Return a row for each organisation, by name."""
-    entries_by_name: dict[str, dict[str, Entry]] = {}
-    for instance, listed in listed_by_instance.items():
-        for entry in listed:
+    """Return one row per organisation, sorted by name."""
+    entries_by_name: dict[str, dict[str, OrganisationEntry]] = {}
+    for instance, organisations in organisations_by_instance.items():
+        for entry in organisations:
             entries_by_name.setdefault(entry['name'], {})[instance] = entry
     return [_row(name, entries) for name, entries in sorted(entries_by_name.items())]
 
 
-def organisation_table(rows: Sequence[OrganisationRow]) -> list[str]:
-    """Return the lines of a table, one an organisation."""
-    cells = [_cells(row) for row in rows]
-    widths = [max(map(len, column)) for column in zip(HEADINGS, *cells, strict=True)]
+def format_organisation_table(rows: Sequence[OrganisationRow]) -> list[str]:
+    """Format ``rows`` as table lines: headings, then one line per organisation."""
+    rows_of_cells = [_cells(row) for row in rows]
+    widths = [max(map(len, column)) for column in zip(HEADINGS, *rows_of_cells, strict=True)]
     return [
-        '  '.join(cell.ljust(width) for cell, width in zip(line, widths, strict=True)).rstrip()
-        for line in (HEADINGS, *cells)
+        '  '.join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
+        for row in (HEADINGS, *rows_of_cells)
     ]
 
 
-def holders_of(listed_by_instance: Mapping[str, Listing], prefix: str) -> dict[str, list[str]]:
-    """Return by instance who holds a key whose digest begins with ``prefix``.
+def find_key_holders(
+    organisations_by_instance: Mapping[str, InstanceListing], prefix: str
+) -> dict[str, list[str]]:
+    """Return, by instance, the organisations with a key whose digest starts with ``prefix``.
 
-    Instances differ for as long as a change of keys has not reached all.
+    The instances may disagree until a change of keys has reached all of them.
     """
     return {
-        instance: [entry['name'] for entry in listed if _holds(entry, prefix)]
-        for instance, listed in listed_by_instance.items()
+        instance: [entry['name'] for entry in organisations if _has_key(entry, prefix)]
+        for instance, organisations in organisations_by_instance.items()
     }
 
 
-def _holds(entry: Entry, prefix: str) -> bool:
+def _has_key(entry: OrganisationEntry, prefix: str) -> bool:
     return any(digest.startswith(prefix) for digest in entry['key_digests'])
 
 
-def _row(name: str, entries: Mapping[str, Entry]) -> OrganisationRow:
-    newest = next(iter(entries.values()))
+def _row(name: str, entries: Mapping[str, OrganisationEntry]) -> OrganisationRow:
+    first = next(iter(entries.values()))
     return OrganisationRow(
         name=name,
-        keys=len(newest['key_digests']),
-        rate=newest['rate'],
-        burst=newest['burst'],
+        keys=len(first['key_digests']),
+        rate=first['rate'],
+        burst=first['burst'],
         used=sum(entry['used'] for entry in entries.values()),
         wanted=sum(entry['wanted'] for entry in entries.values()),
         refused=sum(entry['refused'] for entry in entries.values()),
@@ -84,12 +87,12 @@
 
 def _cells(row: OrganisationRow) -> list[str]:
     busiest = max(row.used_by_instance, key=lambda instance: row.used_by_instance[instance])
-    counts = [str(count) for count in (row.used, row.wanted, row.refused)]
+    request_counts = [str(count) for count in (row.used, row.wanted, row.refused)]
     return [
         row.name,
         str(row.keys),
         f'{row.rate:g}/s' if row.rate else '-',
         f'{row.burst:g}' if row.rate else '-',
-        *counts,
+        *request_counts,
         f'{busiest} {row.used_by_instance[busiest]}/{row.share_by_instance[busiest]:g}',
     ]
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""The burn report: counts summed over nodes, rate against the objective."""
+"""The error-budget burn report: aggregation over nodes and burn rate."""
 
 from pathlib import Path
 
@@ -18,28 +18,29 @@
     return {'stats': {'booking': stats}}
 
 
-def test_requests_served_late_spend_the_budget() -> None:
-    """Symptom: a service that answers everything too late shows no burn.
+def test_late_requests_consume_the_error_budget() -> None:
+    """Guards against counting only requests that were not served as bad.
 
-    Sequence: 1,000 served, 3 of them past the objective. Cause: only
-    requests that were not served counted as bad.
+    A service that answered every request too late then showed burn rate 0.
     """
     (row,) = burn_rows([_status(1000, 0, late=3)])
     assert (row.bad, round(row.burn_rate, 2)) == (3, 3.0)
 
 
-def test_the_report_tells_late_answers_from_requests_not_served() -> None:
-    """Symptom: 78 of 300 requests are bad, and nobody can say whether they
-    were refused or only late: the report gave one number for both.
+def test_the_report_distinguishes_late_from_unserved_requests() -> None:
+    """Guards against one combined number for late and unserved requests.
+
+    With 78 of 300 requests bad, an operator could not tell whether they were
+    refused or only late.
     """
     rows = burn_rows([_status(95, 5, late=7)])
     assert [(row.bad, row.late) for row in rows] == [(12, 7)]
-    head, line = format_burn(rows).splitlines()
-    assert head.split()[2:4] == ['bad', 'late']
+    heading, line = format_burn(rows).splitlines()
+    assert heading.split()[2:4] == ['bad', 'late']
     assert line.split()[2:4] == ['12', '7']
 
 
-def test_burn_sums_nodes_and_writes_a_plot(tmp_path: Path) -> None:
+def test_burn_aggregates_nodes_and_writes_a_plot(tmp_path: Path) -> None:
     rows = burn_rows([_status(990, 5), _status(995, 10)])
     assert [(row.requests, row.bad) for row in rows] == [(2000, 15)]
     assert round(rows[0].burn_rate, 2) == 7.5
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -32,7 +32,7 @@
     ('status', 'seq'),
     ('status', 'cold_left'),
 )
-# JSON values of any type but the one in the name.
+# JSON values that are invalid where a field requires text or a non-negative integer.
 NOT_TEXT = st.one_of(st.none(), st.booleans(), st.integers(), st.floats(), st.lists(st.text()))
 NOT_NON_NEGATIVE_INTEGER = st.one_of(
     st.none(), st.booleans(), st.floats(), st.text(), st.integers(max_value=-1)
