--- a/packages/standins/src/plantainloft_standins/leaving_model.py
+++ b/packages/standins/src/plantainloft_standins/leaving_model.py
@@ -1,9 +1,10 @@
-"""Many instances that follow a failing store while endpoints leave or lapse.
+"""Simulation of many instances that poll a failing store while endpoints leave.
 
-The real following, sharing, probing and beliefs of an instance, in virtual
-time, on a modelled store and with modelled datagrams and calls between the
-instances. It tells how long endpoints are used after their row went, and which
-endpoints whose rows only lapsed were dropped.
+Runs the production code that polls the store, shares changes between instances,
+probes the store and decides which endpoints are usable, in virtual time. The
+store, the datagrams and the calls between instances are simulated. The result
+tells how long endpoints are used after their row was removed, and which running
+endpoints were dropped because their row had expired during an outage.
 """
 
 import random
@@ -27,74 +28,77 @@
 from plantainloft_node.quarantine.crash_book import CrashBook
 from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS
 from plantainloft_node.streams.listener import Handler
-from plantainloft_standins.store_model import ModelStore, Outage, StoreAccess
+from plantainloft_standins.store_model import ModelStore, Outage, StoreClient
 from plantainloft_standins.virtual_clock import run_in_virtual_time
 
-__all__ = ['Lapse', 'Leaving', 'LeavingScenario', 'Seen', 'play_leaving']
+__all__ = ['FalseDrop', 'LeavingResult', 'LeavingScenario', 'StaleUse', 'simulate_leaving']
 
-CALL_S = 1.5
+CALL_TIMEOUT_S = 1.5
 STORE_REGION = 'r0'
 ENDPOINT_COUNT = 24
-# A row that lapsed is written again within about two seconds of the return.
-RELISTED_S = (0.2, 2.0)
+# Range of delays after which an expired row is written again when the store is back.
+REREGISTRATION_S = (0.2, 2.0)
 
 
 class LeavingScenario(NamedTuple):
-    """What happens: ``config_every_s`` paces news that puts polls in step.
+    """Size of the fleet, network and events of a simulation.
 
-    A configuration has ``config_bytes``, and a byte takes ``byte_s`` seconds
-    over an instance's link, one answer after the other.
+    A configuration of ``config_bytes`` is written every ``config_interval_s``
+    seconds, which ends the long polls of all instances at the same time. A byte
+    takes ``byte_s`` seconds over an instance's link, which sends one answer after
+    the other.
 
-    ``leaves_at`` are the times at which an endpoint leaves, ``loss`` the part
-    of datagrams lost. Rows lapse in the outages of all whose ``lapses`` is
-    true, in order.
+    An endpoint leaves at each of the times ``leaves_at``. ``loss_rate`` is the fraction
+    of datagrams lost. ``rows_expire`` says for each outage, in order, whether endpoint
+    rows expire in it.
     """
 
     seed: int
     outages: tuple[Outage, ...]
     leaves_at: tuple[float, ...] = ()
-    lapses: tuple[bool, ...] = ()
+    rows_expire: tuple[bool, ...] = ()
     regions: int = 3
     per_region: int = 4
-    near_s: float = 0.003
-    far_s: float = 0.11
-    loss: float = 0.01
-    config_every_s: float = 2.0
+    intra_region_rtt_s: float = 0.003
+    inter_region_rtt_s: float = 0.11
+    loss_rate: float = 0.01
+    config_interval_s: float = 2.0
     config_bytes: int = 1
     byte_s: float = 0.0
-    length_s: float = 40.0
+    duration_s: float = 40.0
 
 
-class Leaving(NamedTuple):
-    """For how many seconds ``instance`` used an endpoint after its row went."""
+class StaleUse(NamedTuple):
+    """For how long ``instance`` used an endpoint after its row was removed."""
 
     instance: str
-    left_at: float
-    used_s: float
+    removed_at: float
+    stale_s: float
 
 
-class Lapse(NamedTuple):
-    """An endpoint that lived, and was dropped by ``instance``."""
+class FalseDrop(NamedTuple):
+    """A running endpoint that ``instance`` stopped using."""
 
     instance: str
     endpoint_id: str
     at: float
 
 
-class Seen(NamedTuple):
-    """What one play showed; ``calls`` of the store by all instances.
+class LeavingResult(NamedTuple):
+    """Result of a simulation.
 
-    ``behind_at_end`` are those that do not know the newest configuration.
+    ``calls`` counts the store calls of all instances. ``outdated_at_end`` names the
+    instances without the newest configuration.
     """
 
-    leavings: list[Leaving]
-    lapses: list[Lapse]
+    stale_uses: list[StaleUse]
+    false_drops: list[FalseDrop]
     calls: int
-    behind_at_end: list[str]
+    outdated_at_end: list[str]
 
 
 class _Network:
-    """Calls between instances, after a round trip, to those that serve them."""
+    """Latency and bandwidth between instances, and the handlers of their calls."""
 
     def __init__(self, *, scenario: LeavingScenario) -> None:
         self._scenario = scenario
@@ -104,22 +108,22 @@
 
     def one_way_s(self, sender: FleetMember, receiver: FleetMember) -> float:
         if sender.region == receiver.region:
-            return self._scenario.near_s / 2
-        return self._scenario.far_s / 2
+            return self._scenario.intra_region_rtt_s / 2
+        return self._scenario.inter_region_rtt_s / 2
 
-    def carrying_s(self, answer: Any) -> float:
-        """Return for how long an answer occupies the link of who gives it."""
+    def transmission_s(self, answer: Any) -> float:
+        """Return how long an answer occupies the link of the answering instance."""
         rows = answer['rows'] if isinstance(answer, dict) else ()
         return self._scenario.byte_s * sum(len(row[-1] or b'') for row in rows)
 
-    def to_store_s(self, member: FleetMember) -> float:
-        """Return the round trip to the store, which stands in one region."""
+    def store_rtt_s(self, member: FleetMember) -> float:
+        """Return the round-trip time to the store, which runs in ``STORE_REGION``."""
         at_store = member.region == STORE_REGION
-        return self._scenario.near_s if at_store else self._scenario.far_s
+        return self._scenario.intra_region_rtt_s if at_store else self._scenario.inter_region_rtt_s
 
 
 class _ModelCalls(PeerCalls):
-    """Calls of one instance over the modelled network."""
+    """Calls of one instance over the simulated network."""
 
     def __init__(self, *, me: FleetMember, network: _Network) -> None:
         self._me = me
@@ -128,33 +132,33 @@
 
     async def call(self, member: FleetMember, kind: str, content: Any) -> Any | Unreachable:
         one_way_s = self._network.one_way_s(self._me, member)
-        with anyio.move_on_after(CALL_S):
+        with anyio.move_on_after(CALL_TIMEOUT_S):
             await anyio.sleep(one_way_s)
             answer = await self._network.handler_by_call[(member.name, kind)](content)
             async with self._link_by_name.setdefault(member.name, anyio.Lock()):
-                await anyio.sleep(self._network.carrying_s(answer))
+                await anyio.sleep(self._network.transmission_s(answer))
             await anyio.sleep(one_way_s)
             return answer
         return Unreachable(reason=f'{kind}: no answer')
 
 
 class _Instance:
-    """The observing half of an entry instance."""
+    """The part of an entry instance that observes the store and its peers."""
 
     def __init__(
         self, *, me: FleetMember, store: ModelStore, network: _Network, tasks: TaskGroup
     ) -> None:
         self.members = MemberBook(me=me)
-        self.access = StoreAccess(
+        self.store_client = StoreClient(
             store=store,
             instance=me.name,
-            round_trip_s=network.to_store_s(me),
+            round_trip_s=network.store_rtt_s(me),
             clock=anyio.current_time,
             byte_s=network.byte_s,
         )
         duty = StoreDuty(members=self.members)
         self.observation = Observation(
-            store=self.access,
+            store=self.store_client,
             region_by_zone={'a': STORE_REGION},
             wait_s=lambda: duty.wait_s(anyio.current_time()),
             rests=lambda: duty.rests(anyio.current_time()),
@@ -201,8 +205,8 @@
             self.sharing.on_hint(hint)
 
 
-class _Play:
-    """One play of a scenario."""
+class _Simulation:
+    """One simulation of a scenario."""
 
     def __init__(self, *, scenario: LeavingScenario) -> None:
         self._scenario = scenario
@@ -210,36 +214,38 @@
         self._store = ModelStore(outages=scenario.outages)
         self._network = _Network(scenario=scenario)
         self._instance_by_name: dict[str, _Instance] = {}
-        self._left_at_by_id: dict[str, float] = {}
-        self._used_until: dict[tuple[str, str], float] = {}
-        self._lapses: dict[tuple[str, str], Lapse] = {}
+        self._removed_at_by_id: dict[str, float] = {}
+        self._last_use: dict[tuple[str, str], float] = {}
+        self._false_drops: dict[tuple[str, str], FalseDrop] = {}
 
-    async def run(self) -> Seen:
+    async def run(self) -> LeavingResult:
         for number in range(ENDPOINT_COUNT):
             self._store.put(ENDPOINTS, f'i{number}')
         self._store.put(DECLARATIONS, 'config')
         async with anyio.create_task_group() as tasks:
             self._build(tasks)
-            for part in (self._store.watch_outages, self._configure, self._tick):
-                tasks.start_soon(part)
+            for task in (self._store.watch_outages, self._write_configurations, self._tick):
+                tasks.start_soon(task)
             for number, at in enumerate(self._scenario.leaves_at):
-                tasks.start_soon(self._leave, f'i{number}', at)
-            for outage, lapses in zip(self._scenario.outages, self._scenario.lapses, strict=False):
-                if lapses:
-                    tasks.start_soon(self._lapse, outage)
-            await anyio.sleep(self._scenario.length_s)
+                tasks.start_soon(self._remove_endpoint, f'i{number}', at)
+            for outage, rows_expire in zip(
+                self._scenario.outages, self._scenario.rows_expire, strict=False
+            ):
+                if rows_expire:
+                    tasks.start_soon(self._expire_rows, outage)
+            await anyio.sleep(self._scenario.duration_s)
             tasks.cancel_scope.cancel()
-        return Seen(
-            leavings=[
-                Leaving(name, self._left_at_by_id[left], until - self._left_at_by_id[left])
-                for (name, left), until in self._used_until.items()
+        return LeavingResult(
+            stale_uses=[
+                StaleUse(name, self._removed_at_by_id[left], until - self._removed_at_by_id[left])
+                for (name, left), until in self._last_use.items()
             ],
-            lapses=list(self._lapses.values()),
-            calls=sum(one.access.calls for one in self._instance_by_name.values()),
-            behind_at_end=self._behind(),
+            false_drops=list(self._false_drops.values()),
+            calls=sum(one.store_client.calls for one in self._instance_by_name.values()),
+            outdated_at_end=self._outdated_instances(),
         )
 
-    def _behind(self) -> list[str]:
+    def _outdated_instances(self) -> list[str]:
         newest = max(row.version for row in self._store.rows(DECLARATIONS))
         return [
             name
@@ -254,29 +260,29 @@
                 me = FleetMember(name, 1, f'r{region}', f'r{region}-a', f'{name}:80', f'{name}:90')
                 instance = _Instance(me=me, store=self._store, network=self._network, tasks=tasks)
                 self._instance_by_name[name] = instance
-        listed = [one.members.me for one in self._instance_by_name.values()]
+        all_members = [one.members.me for one in self._instance_by_name.values()]
         for instance in self._instance_by_name.values():
-            for member in listed:
+            for member in all_members:
                 instance.members.learn(member, 0.0)
             instance.start(tasks)
             tasks.start_soon(self._send_beats, instance, tasks)
-            tasks.start_soon(self._tell_news, instance, tasks)
+            tasks.start_soon(self._send_hints, instance, tasks)
 
     async def _send_beats(self, sender: _Instance, tasks: TaskGroup) -> None:
         await anyio.sleep(self._random.random() * BEAT_S)
         while True:
-            self._post(sender.relaying.round(anyio.current_time()), sender, tasks)
+            self._send_messages(sender.relaying.round(anyio.current_time()), sender, tasks)
             await anyio.sleep(BEAT_S)
 
-    async def _tell_news(self, sender: _Instance, tasks: TaskGroup) -> None:
+    async def _send_hints(self, sender: _Instance, tasks: TaskGroup) -> None:
         while True:
             await sender.observation.rows.change()
-            self._post(sender.relaying.to_readers(anyio.current_time()), sender, tasks)
+            self._send_messages(sender.relaying.to_readers(anyio.current_time()), sender, tasks)
             await anyio.sleep(NEWS_PAUSE_S)
 
-    def _post(self, messages: list[Message], sender: _Instance, tasks: TaskGroup) -> None:
+    def _send_messages(self, messages: list[Message], sender: _Instance, tasks: TaskGroup) -> None:
         for message in messages:
-            if self._random.random() >= self._scenario.loss:
+            if self._random.random() >= self._scenario.loss_rate:
                 tasks.start_soon(self._deliver, message, sender)
 
     async def _deliver(self, message: Message, sender: _Instance) -> None:
@@ -286,27 +292,29 @@
         await anyio.sleep(self._network.one_way_s(me, receiver.members.me))
         receiver.receive(message.packed, me.name)
 
-    async def _configure(self) -> None:
-        # The operator's write waits while the store is away for all.
+    async def _write_configurations(self) -> None:
+        # The operator can't write while the store is down for all instances.
         while True:
-            await anyio.sleep(self._scenario.config_every_s)
-            if self._store.outage_of('', anyio.current_time()) is None:
+            await anyio.sleep(self._scenario.config_interval_s)
+            if self._store.outage_for('', anyio.current_time()) is None:
                 self._store.put(DECLARATIONS, 'config', size=self._scenario.config_bytes)
 
-    async def _leave(self, endpoint_id: str, at: float) -> None:
+    async def _remove_endpoint(self, endpoint_id: str, at: float) -> None:
         await anyio.sleep_until(at)
-        self._left_at_by_id[endpoint_id] = at
+        self._removed_at_by_id[endpoint_id] = at
         self._store.remove(ENDPOINTS, endpoint_id)
 
-    async def _lapse(self, outage: Outage) -> None:
-        """Let the rows of the endpoints that stay lapse; they come back later."""
-        stay = range(len(self._scenario.leaves_at), ENDPOINT_COUNT)
-        await anyio.sleep_until(self._random.uniform(outage.begin_s, outage.end_s))
-        for number in stay:
+    async def _expire_rows(self, outage: Outage) -> None:
+        """Remove the rows of the endpoints that stay; write them again after the outage."""
+        remaining = range(len(self._scenario.leaves_at), ENDPOINT_COUNT)
+        await anyio.sleep_until(self._random.uniform(outage.start_s, outage.end_s))
+        for number in remaining:
             self._store.remove(ENDPOINTS, f'i{number}')
         await anyio.sleep_until(outage.end_s)
-        back = sorted((self._random.uniform(*RELISTED_S), number) for number in stay)
-        for after_s, number in back:
+        rewritten = sorted(
+            (self._random.uniform(*REREGISTRATION_S), number) for number in remaining
+        )
+        for after_s, number in rewritten:
             await anyio.sleep_until(outage.end_s + after_s)
             self._store.put(ENDPOINTS, f'i{number}')
 
@@ -316,25 +324,25 @@
             now = anyio.current_time()
             for instance in self._instance_by_name.values():
                 instance.observation.beliefs.tick(now)
-                self._look(instance, now)
+                self._record_use(instance, now)
 
-    def _look(self, instance: _Instance, now: float) -> None:
+    def _record_use(self, instance: _Instance, now: float) -> None:
         used = instance.observation.book.by_id
         name = instance.members.me.name
         for number in range(ENDPOINT_COUNT):
             endpoint_id = f'i{number}'
-            if endpoint_id in self._left_at_by_id:
+            if endpoint_id in self._removed_at_by_id:
                 if endpoint_id in used:
-                    self._used_until[(name, endpoint_id)] = now
-            elif endpoint_id not in used and now > self._scenario.near_s + 2:
-                self._lapses.setdefault((name, endpoint_id), Lapse(name, endpoint_id, now))
+                    self._last_use[(name, endpoint_id)] = now
+            elif endpoint_id not in used and now > self._scenario.intra_region_rtt_s + 2:
+                self._false_drops.setdefault((name, endpoint_id), FalseDrop(name, endpoint_id, now))
 
 
-def play_leaving(scenario: LeavingScenario) -> Seen:
-    """Play ``scenario``; the same seed gives the same play."""
+def simulate_leaving(scenario: LeavingScenario) -> LeavingResult:
+    """Simulate ``scenario``; the same seed gives the same result."""
     state = random.getstate()
     random.seed(scenario.seed)
     try:
-        return run_in_virtual_time(_Play(scenario=scenario).run)
+        return run_in_virtual_time(_Simulation(scenario=scenario).run)
     finally:
         random.setstate(state)
--- a/packages/standins/src/plantainloft_standins/store_model.py
+++ b/packages/standins/src/plantainloft_standins/store_model.py
@@ -1,8 +1,9 @@
-"""A model of the platform's store: rows, polls, and the ways in which it fails.
+"""Simulated platform store: rows, long polls and failure modes.
 
-What it models was seen on the users' platform: a silent store keeps the polls
-that it holds and answers them at its return, but for those whose answer is due
-while it is away; one that is busy or resets connections ends them at once.
+The failure modes reproduce what the platform's store does. A silent store keeps
+the long polls that are open and answers them when it recovers, except those that
+expire during the outage. A store that is busy or resets connections fails every
+call at once.
 """
 
 from collections.abc import Callable
@@ -25,36 +26,36 @@
     NewsStore,
 )
 
-__all__ = ['Manner', 'ModelStore', 'Outage', 'StoreAccess']
+__all__ = ['FailureMode', 'ModelStore', 'Outage', 'StoreClient']
 
-# As the calls of the deployed process: given up so long after the answer is due.
-CALL_S = 1.2
+# Same timeout as in the deployed process, on top of the requested wait.
+CALL_TIMEOUT_S = 1.2
 SERVICE = 'desk'
 
 
-class Manner(Enum):
-    """How the store fails."""
+class FailureMode(Enum):
+    """How the store fails: calls hang, or fail at once."""
 
     SILENT = 'silent'
     REFUSING = 'refusing'
 
 
 class Outage(NamedTuple):
-    """A time in which the store fails; ``instances`` empty: all of them."""
+    """A time span in which the store fails for ``instances``, or for all if empty."""
 
-    begin_s: float
+    start_s: float
     end_s: float
-    manner: Manner
+    failure_mode: FailureMode
     instances: frozenset[str] = frozenset()
 
-    def hits(self, instance: str, now: float) -> bool:
-        """Return whether ``instance`` is failed at ``now``."""
-        concerned = not self.instances or instance in self.instances
-        return concerned and self.begin_s <= now < self.end_s
+    def affects(self, instance: str, now: float) -> bool:
+        """Return whether the outage affects ``instance`` at ``now``."""
+        is_affected = not self.instances or instance in self.instances
+        return is_affected and self.start_s <= now < self.end_s
 
 
 class ModelStore:
-    """The rows, and who is told of their changes."""
+    """Versioned rows and a notification of their changes."""
 
     def __init__(self, *, outages: tuple[Outage, ...]) -> None:
         self.outages = outages
@@ -70,13 +71,16 @@
         """Remove a row."""
         self._write(table, key, None)
 
-    def wake(self) -> None:
-        """Have the polls that are held look anew."""
+    def notify(self) -> None:
+        """Make open long polls check the rows and outages again."""
         self._changed.set()
         self._changed = anyio.Event()
 
     def rows(self, table: str, *, after: int = 0) -> tuple[NewsRow, ...]:
-        """Return the rows of ``table`` changed after a version, in order."""
+        """Return the rows of ``table`` changed after a version, in version order.
+
+        Removed rows are included only if ``after`` is given.
+        """
         found = [
             row
             for row in self._row_by_key.values()
@@ -84,29 +88,31 @@
         ]
         return tuple(sorted(found, key=lambda row: row.version))
 
-    def outage_of(self, instance: str, now: float) -> Outage | None:
-        """Return the outage that ``instance`` meets at ``now``."""
-        return next((one for one in self.outages if one.hits(instance, now)), None)
+    def outage_for(self, instance: str, now: float) -> Outage | None:
+        """Return the outage that affects ``instance`` at ``now``, if any."""
+        return next((one for one in self.outages if one.affects(instance, now)), None)
 
     async def changed(self) -> None:
-        """Wait until a row or the store's state changes."""
+        """Wait until a row changes or an outage begins or ends."""
         await self._changed.wait()
 
     async def watch_outages(self) -> None:
-        """Wake the polls that are held at each begin and end of an outage."""
-        edges = sorted({edge for one in self.outages for edge in (one.begin_s, one.end_s)})
-        for edge in edges:
-            await anyio.sleep_until(edge)
-            self.wake()
+        """Notify open long polls whenever an outage begins or ends."""
+        boundaries = sorted(
+            {boundary for one in self.outages for boundary in (one.start_s, one.end_s)}
+        )
+        for boundary in boundaries:
+            await anyio.sleep_until(boundary)
+            self.notify()
 
     def _write(self, table: str, key: str, content: bytes | None) -> None:
         self.version += 1
         self._row_by_key[(table, key)] = NewsRow(table, key, self.version, content)
-        self.wake()
+        self.notify()
 
 
-class StoreAccess(NewsStore):
-    """The store as one instance meets it."""
+class StoreClient(NewsStore):
+    """One instance's connection to the store, with its latency."""
 
     def __init__(
         self,
@@ -117,7 +123,7 @@
         clock: Callable[[], float],
         byte_s: float = 0.0,
     ) -> None:
-        """``byte_s``: how long a byte takes to the instance, in seconds."""
+        """``byte_s``: transmission time per byte to the instance, in seconds."""
         self._store = store
         self._instance = instance
         self._one_way_s = round_trip_s / 2
@@ -132,28 +138,28 @@
     async def changes(
         self, table: str, *, after: int, wait_s: float
     ) -> News | HistoryLost | Unreachable:
-        """Return the rows that changed."""
+        """Long-poll for the rows changed after a version."""
         return await self._ask(table, after=after, wait_s=wait_s)
 
     async def put_row(self, table: str, key: str, content: bytes) -> Unreachable | None:
-        """Write nothing: the model keeps no list of instances."""
+        """Write nothing: instances are not registered in this model."""
         return await self.probe()
 
     async def remove_row(self, row: NewsRow) -> Unreachable | None:
-        """Write nothing: the model keeps no list of instances."""
+        """Remove nothing: instances are not registered in this model."""
         return await self.probe()
 
     async def replace_row(self, row: NewsRow, content: bytes) -> bool | Unreachable:
-        """Nothing: endpoints do not crash here."""
+        """Replace nothing: endpoints do not crash in this model."""
         return False
 
     async def probe(self) -> Unreachable | None:
-        """Make one small call."""
+        """Check that the store answers, with one small call."""
         outcome = await self._ask(INSTANCES, after=0, wait_s=0.0)
         return outcome if isinstance(outcome, Unreachable) else None
 
     def decode(self, row: NewsRow) -> Change | Invalid | None:
-        """Return what ``row`` means."""
+        """Decode ``row`` into the change of an endpoint that it stands for."""
         change: Change | None = None
         if row.table != DECLARATIONS:
             change = _listed(row.key) if row.content else EndpointGone(endpoint_id=row.key)
@@ -162,26 +168,26 @@
     async def _ask(self, table: str, *, after: int, wait_s: float) -> News | Unreachable:
         self.calls += 1
         outcome: News | Unreachable = Unreachable(reason='no answer in time')
-        with anyio.move_on_after(CALL_S + wait_s):
+        with anyio.move_on_after(CALL_TIMEOUT_S + wait_s):
             await anyio.sleep(self._one_way_s)
-            outcome = await self._hold(table, after=after, due_at=self._clock() + wait_s)
+            outcome = await self._long_poll(table, after=after, expires_at=self._clock() + wait_s)
             await anyio.sleep(self._one_way_s + self._byte_s * _size(outcome))
         return outcome
 
-    async def _hold(self, table: str, *, after: int, due_at: float) -> News | Unreachable:
-        arrives = True
+    async def _long_poll(self, table: str, *, after: int, expires_at: float) -> News | Unreachable:
+        is_new_call = True
         while True:
             now = self._clock()
-            outage = self._store.outage_of(self._instance, now)
-            if outage is not None and outage.manner is Manner.REFUSING:
+            outage = self._store.outage_for(self._instance, now)
+            if outage is not None and outage.failure_mode is FailureMode.REFUSING:
                 return Unreachable(reason='503')
-            if outage is not None and (arrives or now >= due_at):
+            if outage is not None and (is_new_call or now >= expires_at):
                 await anyio.sleep_forever()
             rows = self._store.rows(table, after=after)
-            if outage is None and (rows or now >= due_at):
+            if outage is None and (rows or now >= expires_at):
                 return News(rows, self._store.version)
-            arrives = False
-            with anyio.move_on_after(due_at - now):
+            is_new_call = False
+            with anyio.move_on_after(expires_at - now):
                 await self._store.changed()
 
 
--- a/packages/standins/src/plantainloft_standins/virtual_clock.py
+++ b/packages/standins/src/plantainloft_standins/virtual_clock.py
@@ -1,8 +1,8 @@
 """An event loop whose clock jumps to the next timer instead of waiting.
 
 Minutes of timers and sleeps pass in the time that the code between them
-takes, in the same order at every run. For code that meets no sockets, files
-or threads: nothing ever becomes readable here.
+takes, and in the same order in every run. Only for code that uses no sockets,
+files or threads: no file descriptor ever becomes ready on this loop.
 """
 
 import asyncio
@@ -15,34 +15,34 @@
 Result = TypeVar('Result')
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Tells how long it was to wait, and does not."""
+class _NonBlockingSelector(selectors.SelectSelector):
+    """Reports the requested timeout to `advance` and returns without blocking."""
 
-    def __init__(self, pass_time: Callable[[float], None]) -> None:
+    def __init__(self, advance: Callable[[float], None]) -> None:
         super().__init__()
-        self._pass_time = pass_time
+        self._advance = advance
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError('nothing is left to wait for: all tasks are stuck')
-        self._pass_time(timeout)
+            raise RuntimeError('deadlock: every task waits for something other than time')
+        self._advance(timeout)
         return super().select(0)
 
 
 class _VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
         self._virtual_s = 0.0
-        super().__init__(_JumpingSelector(self._pass_time))
+        super().__init__(_NonBlockingSelector(self._advance))
 
     def time(self) -> float:
         return self._virtual_s
 
-    def _pass_time(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         self._virtual_s += max(0.0, seconds)
 
 
 def run_in_virtual_time(main: Callable[[], Coroutine[Any, Any, Result]]) -> Result:
-    """Run ``main`` to its end; seconds are virtual, from 0 on.
+    """Run ``main`` to completion; the virtual clock starts at 0 seconds.
 
     Raises ``RuntimeError`` if all tasks wait for something other than time.
     """
