--- a/bench/crash_plays.py
+++ b/bench/crash_plays.py
@@ -1,36 +1,45 @@
-"""Fatal requests on the model of the fleet, over many seeds.
+"""Random simulations of fatal requests over many seeds.
 
     .venv/bin/python bench/crash_plays.py [SEEDS]
 
-Each seed draws the size of the fleet, the loss, kills, restarts, a deaf instance
-and one to three fatal requests. Prints each play that the users' bound does not
-allow, and what the others got.
+Each seed determines the size of the fleet, datagram loss, kills, restarts, an
+instance that receives no datagrams, and one to three fatal requests. Prints each
+simulation in which too many fatal requests were sent or a background request was
+refused for too long.
 """
 
 import sys
 
 from plantainloft_node.quarantine.crashes import HOLD_S
-from plantainloft_standins.crash_draws import draw_play
+from plantainloft_standins.crash_draws import random_simulation
 
 DEFAULT_SEEDS = 50
-MAX_LATER = 3
+MAX_LATE_REQUESTS = 3
 
 
 def main() -> None:
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEEDS
-    broken = 0
-    longest = []
+    exceeded = 0
+    shut_out_times_s = []
     for seed in range(seeds):
-        play = draw_play(seed)
-        play.run()
-        record = play.record
-        later = {path: record.arrivals_after_contact(path) for path in record.crashes_by_path}
-        later.pop('', None)
-        longest.append(record.longest_shut_out_s())
-        if max(later.values(), default=0) > MAX_LATER or longest[-1] > HOLD_S:
-            broken += 1
-            print(f'seed {seed}: later {later}, shut out for {longest[-1]:.1f} s', flush=True)
-    print(f'{seeds} seeds, {broken} not allowed; longest shut out {max(longest):.1f} s')
+        simulation = random_simulation(seed)
+        simulation.run()
+        results = simulation.results
+        late_requests = {
+            path: results.arrivals_after_propagation(path) for path in results.crashes_by_path
+        }
+        late_requests.pop('', None)
+        shut_out_times_s.append(results.longest_shut_out_s())
+        if (
+            max(late_requests.values(), default=0) > MAX_LATE_REQUESTS
+            or shut_out_times_s[-1] > HOLD_S
+        ):
+            exceeded += 1
+            print(
+                f'seed {seed}: later {late_requests}, shut out for {shut_out_times_s[-1]:.1f} s',
+                flush=True,
+            )
+    print(f'{seeds} seeds, {exceeded} not allowed; longest shut out {max(shut_out_times_s):.1f} s')
 
 
 if __name__ == '__main__':
--- a/packages/standins/src/plantainloft_standins/crash_draws.py
+++ b/packages/standins/src/plantainloft_standins/crash_draws.py
@@ -1,69 +1,70 @@
-"""Plays with fatal requests whose scenario is drawn from a seed."""
+"""Random simulations of fatal requests, drawn from a seed."""
 
 import random
 
-from plantainloft_standins.crash_model import CrashPlay, CrashScenario, FatalRequest
+from plantainloft_standins.crash_model import CrashScenario, CrashSimulation, FatalRequest
 from plantainloft_standins.fleet_model import FleetModel, FleetShape
 
-__all__ = ['draw_play']
+__all__ = ['random_simulation']
 
-SETTLED_S = 8.0
-LENGTH_S = 40.0
-LOSSES = (0.01, 0.05)
-INSTANCES_A_ZONE = (2, 2, 2, 4)
-FATAL_PER_S = (0.5, 2.0, 8.0)
-MOST_FATAL = 3
-LATEST_BEGIN_S = 10.0
-IDEMPOTENT_PART = 0.7
-OBJECTS = (0, 50, 500)
-KILLS_PER_S = (0.0, 0.5, 2.0)
-MOST_RESTARTS = 3
-RESTARTED_PART = 3
-DEAF_PART = 0.3
+SETTLE_TIME_S = 8.0
+DURATION_S = 40.0
+LOSS_RATES = (0.01, 0.05)
+INSTANCES_PER_ZONE = (2, 2, 2, 4)
+FATAL_RATES_PER_S = (0.5, 2.0, 8.0)
+MAX_FATAL_REQUESTS = 3
+MAX_FATAL_START_S = 10.0
+IDEMPOTENT_FRACTION = 0.7
+PATH_COUNTS = (0, 50, 500)
+KILL_RATES_PER_S = (0.0, 0.5, 2.0)
+MAX_RESTARTS = 3
+RESTARTED_DIVISOR = 3
+DEAF_PROBABILITY = 0.3
 
 
-def draw_play(seed: int) -> CrashPlay:
-    """Return a play that is drawn from ``seed``, on a fleet that has settled.
+def random_simulation(seed: int) -> CrashSimulation:
+    """Return a random simulation on a fleet that has settled.
 
-    Sizes, loss, kills, restarts of a third of the instances, an instance that
-    hears nobody, and one to three fatal requests.
+    The seed determines the size of the fleet, datagram loss, kills, restarts of a
+    third of the instances, an instance that receives no datagrams, and one to three
+    fatal requests.
     """
-    chance = random.Random(seed)
-    shape = FleetShape(instances=chance.choice(INSTANCES_A_ZONE), loss=chance.choice(LOSSES))
+    rng = random.Random(seed)
+    shape = FleetShape(instances=rng.choice(INSTANCES_PER_ZONE), loss=rng.choice(LOSS_RATES))
     model = FleetModel(shape=shape._replace(seed=seed))
     model.start_all()
-    model.run_for(SETTLED_S)
+    model.run_for(SETTLE_TIME_S)
     fatal = tuple(
         FatalRequest(
             f'/fatal/{number}',
-            per_s=chance.choice(FATAL_PER_S),
-            begins_s=chance.uniform(0, LATEST_BEGIN_S),
-            idempotent=chance.random() < IDEMPOTENT_PART,
+            per_s=rng.choice(FATAL_RATES_PER_S),
+            start_s=rng.uniform(0, MAX_FATAL_START_S),
+            idempotent=rng.random() < IDEMPOTENT_FRACTION,
         )
-        for number in range(chance.randint(1, MOST_FATAL))
+        for number in range(rng.randint(1, MAX_FATAL_REQUESTS))
     )
     scenario = CrashScenario(
         fatal=fatal,
-        objects=chance.choice(OBJECTS),
-        kills_per_s=chance.choice(KILLS_PER_S),
-        length_s=LENGTH_S,
+        path_count=rng.choice(PATH_COUNTS),
+        kills_per_s=rng.choice(KILL_RATES_PER_S),
+        duration_s=DURATION_S,
         seed=seed,
     )
-    play = CrashPlay(model=model, scenario=scenario)
-    _disturb(play, chance)
-    return play
+    simulation = CrashSimulation(model=model, scenario=scenario)
+    _schedule_faults(simulation, rng)
+    return simulation
 
 
-def _disturb(play: CrashPlay, chance: random.Random) -> None:
-    names = sorted(play.model.instance_by_name)
+def _schedule_faults(simulation: CrashSimulation, rng: random.Random) -> None:
+    names = sorted(simulation.model.instance_by_name)
 
     def restart() -> None:
-        for name in chance.sample(names, len(names) // RESTARTED_PART):
-            play.model.start(name)
-            play.started(name)
+        for name in rng.sample(names, len(names) // RESTARTED_DIVISOR):
+            simulation.model.start(name)
+            simulation.note_restart(name)
 
-    for _ in range(chance.randint(0, MOST_RESTARTS)):
-        play.model.after(chance.uniform(1, LENGTH_S), restart)
-    if chance.random() < DEAF_PART:
-        deaf = chance.choice(names)
-        play.model.passes = lambda sender, receiver: receiver.name != deaf
+    for _ in range(rng.randint(0, MAX_RESTARTS)):
+        simulation.model.after(rng.uniform(1, DURATION_S), restart)
+    if rng.random() < DEAF_PROBABILITY:
+        deaf = rng.choice(names)
+        simulation.model.passes = lambda sender, receiver: receiver.name != deaf
--- a/packages/standins/src/plantainloft_standins/fleet_model.py
+++ b/packages/standins/src/plantainloft_standins/fleet_model.py
@@ -1,8 +1,8 @@
-"""The fleet's datagrams between many instances, in virtual time.
+"""Simulation of the datagrams between many entry instances, in virtual time.
 
-The real book, intake and relaying of each instance; the network between them
-loses, delays and cuts as a test says. Answers to hints are modelled as the
-whole list of instances, which is what a peer sends.
+Runs the production membership, receiving and relaying code of each instance. The
+network between them is simulated: it loses and delays datagrams, and a test can
+cut links. A hint is answered with the whole list of instances, as by a real peer.
 """
 
 import heapq
@@ -22,20 +22,20 @@
 
 __all__ = ['FleetModel', 'FleetShape', 'ModelInstance', 'Traffic']
 
-Passes = Callable[[FleetMember, FleetMember], bool]
+LinkFilter = Callable[[FleetMember, FleetMember], bool]
 
-SEEDS = 3
+SEED_COUNT = 3
 
-NEAR_S = 0.002
-FAR_S = 0.055
-ASKED_AFTER_S = 0.35
-# All instances start within this time, and rounds are this late at most.
-STARTS_WITHIN_S = 0.3
-LATE_S = 0.05
+INTRA_REGION_DELAY_S = 0.002
+INTER_REGION_DELAY_S = 0.055
+MEMBER_QUERY_DELAY_S = 0.35
+# All instances start within START_SPREAD_S. A round is up to MAX_ROUND_DELAY_S late.
+START_SPREAD_S = 0.3
+MAX_ROUND_DELAY_S = 0.05
 
 
 class FleetShape(NamedTuple):
-    """How many instances there are, and the part of datagrams that is lost."""
+    """Regions, zones per region, instances per zone, and fraction of datagrams lost."""
 
     regions: int = 3
     zones: int = 2
@@ -45,7 +45,7 @@
 
 
 class Traffic(NamedTuple):
-    """What one instance has sent and received, in datagrams and bytes."""
+    """Datagrams and bytes that one instance has sent and received."""
 
     sent: int = 0
     received: int = 0
@@ -53,7 +53,7 @@
     bytes_between_zones: int = 0
 
     def with_sent(self, size: int, *, between_zones: bool) -> 'Traffic':
-        """Return this and a datagram of ``size`` bytes sent."""
+        """Return these counts plus one datagram of ``size`` bytes sent."""
         return self._replace(
             sent=self.sent + 1,
             sent_bytes=self.sent_bytes + size,
@@ -61,12 +61,12 @@
         )
 
     def with_received(self) -> 'Traffic':
-        """Return this and a datagram received."""
+        """Return these counts plus one datagram received."""
         return self._replace(received=self.received + 1)
 
 
 class ModelInstance:
-    """An entry instance as far as the fleet goes."""
+    """The parts of an entry instance that exchange datagrams with its peers."""
 
     def __init__(
         self,
@@ -85,9 +85,9 @@
         self.leaving = False
         self.rate_by_service: dict[str, float] = {'desk': 1.0}
         self.traffic = Traffic()
-        self.urgent = False
-        self.asking = False
-        # Rounds of a former start, or of a process that is stopped, are void.
+        self.urgent_round_pending = False
+        self.query_pending = False
+        # False once the process is stopped or replaced; its pending events are ignored.
         self.runs = True
         self.relaying = Relaying(
             members=self.members,
@@ -106,12 +106,12 @@
 
 class _Event(NamedTuple):
     at: float
-    order: int
-    act: Callable[[], None]
+    number: int
+    callback: Callable[[], None]
 
 
 class FleetModel:
-    """Plays the fleet; ``passes`` says whether a datagram gets from one to other."""
+    """Simulates a fleet; ``passes`` tells whether datagrams get from sender to receiver."""
 
     def __init__(
         self,
@@ -121,82 +121,82 @@
         limit_terms: LimitTerms = DEFAULT_TERMS,
         share_rule: Callable[[], ShareRule] = SharesByDemand,
     ) -> None:
-        """``listed``: whether each start reads a list of all instances."""
+        """``listed``: whether an instance knows the instances started before it."""
         self._limit_terms = limit_terms
         self._share_rule = share_rule
         self.now = 0.0
-        self.passes: Passes = _passes_always
+        self.passes: LinkFilter = _allow_all
         self.instance_by_name: dict[str, ModelInstance] = {}
         self._shape = shape
         self._listed = listed
-        self._random = random.Random(shape.seed)
-        self._order = itertools.count()
+        self._rng = random.Random(shape.seed)
+        self._event_numbers = itertools.count()
         self._events: list[_Event] = []
-        self._place_by_name = {member.name: member for member in _members(shape)}
+        self._member_by_name = {member.name: member for member in _generate_members(shape)}
 
     def start_all(self) -> None:
-        """Let every instance start within a moment."""
-        for name in self._place_by_name:
-            self.after(self._random.random() * STARTS_WITHIN_S, partial(self.start, name))
+        """Start every instance, at random times within ``START_SPREAD_S``."""
+        for name in self._member_by_name:
+            self.after(self._rng.random() * START_SPREAD_S, partial(self.start, name))
 
     def start(self, name: str) -> None:
-        """Start an instance, anew if it ran before."""
-        before = self.instance_by_name.get(name)
-        me = self._place_by_name[name]
-        if before is not None:
-            before.runs = False
-            me = me._replace(incarnation=before.members.me.incarnation + 1)
+        """Start an instance, or restart it as a new incarnation."""
+        previous = self.instance_by_name.get(name)
+        me = self._member_by_name[name]
+        if previous is not None:
+            previous.runs = False
+            me = me._replace(incarnation=previous.members.me.incarnation + 1)
         instance = ModelInstance(
             me=me,
-            seeds=_seeds(list(self._place_by_name.values())),
-            seed=next(self._order),
+            seeds=_select_seeds(list(self._member_by_name.values())),
+            seed=next(self._event_numbers),
             limiter=RequestLimiter(me=name, terms=self._limit_terms, rule=self._share_rule()),
             clock=lambda: self.now,
         )
         if self._listed:
-            _learn_all(instance, self.instance_by_name.values(), self.now)
+            _learn_members(instance, self.instance_by_name.values(), self.now)
         self.instance_by_name[name] = instance
-        self._round(instance, to_all=True)
+        self._run_round(instance, to_all=True)
 
     def wake(self, name: str) -> None:
-        """Let a stopped process go on."""
+        """Resume a stopped process, like SIGCONT."""
         instance = self.instance_by_name[name]
         instance.runs = True
-        self._round(instance)
+        self._run_round(instance)
 
     def leave(self, name: str) -> None:
-        """Let an instance say that it leaves."""
+        """Make an instance announce that it is leaving."""
         instance = self.instance_by_name[name]
         instance.leaving = True
         self.send_round(instance, to_all=True)
 
-    def hurry(self, instance: ModelInstance) -> None:
-        """Let an instance tell the others within a moment."""
-        if not instance.urgent:
-            instance.urgent = True
-            self.after(URGENT_AFTER_S, partial(_tell_all, self, instance))
+    def schedule_urgent_round(self, instance: ModelInstance) -> None:
+        """Schedule an urgent round to all other instances, unless one is pending."""
+        if not instance.urgent_round_pending:
+            instance.urgent_round_pending = True
+            self.after(URGENT_AFTER_S, partial(_send_urgent_round, self, instance))
 
     def send_round(self, instance: ModelInstance, *, to_all: bool) -> None:
-        """Let an instance tell the others now."""
+        """Send a round of datagrams from an instance now."""
         for message in instance.relaying.round(self.now, to_all=to_all):
             self._send(instance, message)
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Do ``act`` so many seconds from now."""
-        event = _Event(self.now + seconds, next(self._order), act)
+    def after(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call ``callback`` after ``seconds`` of virtual time."""
+        event = _Event(self.now + seconds, next(self._event_numbers), callback)
         heapq.heappush(self._events, event)
 
     def run_for(self, seconds: float) -> None:
-        """Let time pass."""
-        end_at = self.now + seconds
-        while self._events and self._events[0].at <= end_at:
+        """Advance virtual time, running the events that fall due."""
+        end_s = self.now + seconds
+        while self._events and self._events[0].at <= end_s:
             event = heapq.heappop(self._events)
             self.now = event.at
-            event.act()
-        self.now = end_at
+            event.callback()
+        self.now = end_s
 
     def up_at(self, name: str) -> set[str]:
-        """Return whom ``name`` takes for up, itself included."""
+        """Return the instances that ``name`` considers up, including itself."""
         members = self.instance_by_name[name].members
         return {name, *(one.name for one in members.up(self.now))}
 
@@ -205,25 +205,25 @@
         return [name for name, one in self.instance_by_name.items() if one.runs]
 
     def disagreeing(self, names: Iterable[str] | None = None) -> dict[str, set[str]]:
-        """Return, by name, where an instance errs on who is up."""
+        """Return, by name, the instances about whose state each instance is wrong."""
         running = set(self.running())
-        found = {name: self.up_at(name) ^ running for name in names or running}
-        return {name: wrong for name, wrong in found.items() if wrong}
+        wrong_by_name = {name: self.up_at(name) ^ running for name in names or running}
+        return {name: wrong for name, wrong in wrong_by_name.items() if wrong}
 
-    def _round(self, instance: ModelInstance, *, to_all: bool = False) -> None:
+    def _run_round(self, instance: ModelInstance, *, to_all: bool = False) -> None:
         if instance.runs:
             self.send_round(instance, to_all=to_all)
-            late_s = self._random.random() * LATE_S
-            self.after(BEAT_S + late_s, partial(self._round, instance))
+            round_delay_s = self._rng.random() * MAX_ROUND_DELAY_S
+            self.after(BEAT_S + round_delay_s, partial(self._run_round, instance))
 
     def _send(self, sender: ModelInstance, message: Message) -> None:
         me = sender.members.me
-        to = self._place_by_name[message.address.rpartition(':')[0]]
+        to = self._member_by_name[message.address.rpartition(':')[0]]
         sender.traffic = sender.traffic.with_sent(
             len(message.packed), between_zones=to.zone != me.zone
         )
-        if self.passes(me, to) and self._random.random() >= self._shape.loss:
-            delay_s = NEAR_S if to.region == me.region else FAR_S
+        if self.passes(me, to) and self._rng.random() >= self._shape.loss:
+            delay_s = INTRA_REGION_DELAY_S if to.region == me.region else INTER_REGION_DELAY_S
             self.after(delay_s, partial(self._deliver, message.packed, me.name, to.name))
 
     def _deliver(self, packed: bytes, host: str, name: str) -> None:
@@ -231,56 +231,56 @@
         if receiver is None or not receiver.runs:
             return
         receiver.traffic = receiver.traffic.with_received()
-        taken = receiver.intake.take(packed, host, self.now)
-        if taken is None:
-            raise ValueError('a datagram of ours is not understood')
-        if taken.is_urgent:
-            self.hurry(receiver)
-        for hint in taken.hints:
+        accepted = receiver.intake.take(packed, host, self.now)
+        if accepted is None:
+            raise ValueError(f'datagram from {host} to {name} cannot be decoded')
+        if accepted.is_urgent:
+            self.schedule_urgent_round(receiver)
+        for hint in accepted.hints:
             self._take_hint(receiver, hint)
 
     def _take_hint(self, receiver: ModelInstance, hint: Hint) -> None:
-        if not receiver.asking and _lacks(receiver, hint):
-            receiver.asking = True
-            self.after(ASKED_AFTER_S, partial(self._ask, receiver, hint))
+        if not receiver.query_pending and _has_unknown_members(receiver, hint):
+            receiver.query_pending = True
+            self.after(MEMBER_QUERY_DELAY_S, partial(self._query_members, receiver, hint))
 
-    def _ask(self, receiver: ModelInstance, hint: Hint) -> None:
-        receiver.asking = False
+    def _query_members(self, receiver: ModelInstance, hint: Hint) -> None:
+        receiver.query_pending = False
         asked = self.instance_by_name[hint.member.name]
         reached = asked.runs and self.passes(receiver.members.me, hint.member)
-        if receiver.runs and reached and _lacks(receiver, hint):
+        if receiver.runs and reached and _has_unknown_members(receiver, hint):
             for member in (*asked.members.counted(self.now), asked.members.me):
                 receiver.members.learn(member, self.now)
             receiver.members.listed = True
 
 
-def _members(shape: FleetShape) -> Iterator[FleetMember]:
-    places = itertools.product(range(shape.regions), range(shape.zones), range(shape.instances))
-    for region, zone, number in places:
+def _generate_members(shape: FleetShape) -> Iterator[FleetMember]:
+    positions = itertools.product(range(shape.regions), range(shape.zones), range(shape.instances))
+    for region, zone, number in positions:
         name = f'r{region}-z{zone}-{number}'
         yield FleetMember(name, 1, f'r{region}', f'r{region}-z{zone}', f'{name}:80', f'{name}:90')
 
 
-def _seeds(members: list[FleetMember]) -> tuple[str, ...]:
-    return tuple(member.peer for member in members[:: max(1, len(members) // SEEDS)])
+def _select_seeds(members: list[FleetMember]) -> tuple[str, ...]:
+    return tuple(member.peer for member in members[:: max(1, len(members) // SEED_COUNT)])
 
 
-def _learn_all(instance: ModelInstance, others: Iterable[ModelInstance], now: float) -> None:
+def _learn_members(instance: ModelInstance, others: Iterable[ModelInstance], now: float) -> None:
     for other in others:
         instance.members.learn(other.members.me, now)
     instance.members.listed = True
 
 
-def _lacks(receiver: ModelInstance, hint: Hint) -> bool:
+def _has_unknown_members(receiver: ModelInstance, hint: Hint) -> bool:
     known = receiver.members.known
     return any(known.name_of(key) is None for key in hint.keys)
 
 
-def _passes_always(sender: FleetMember, receiver: FleetMember) -> bool:
+def _allow_all(sender: FleetMember, receiver: FleetMember) -> bool:
     return True
 
 
-def _tell_all(model: FleetModel, instance: ModelInstance) -> None:
-    instance.urgent = False
+def _send_urgent_round(model: FleetModel, instance: ModelInstance) -> None:
+    instance.urgent_round_pending = False
     if instance.runs:
         model.send_round(instance, to_all=True)
