--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,11 +1,11 @@
-"""Switch off each mechanism of placement in the load model, one by one.
+"""Load simulations with each placement mechanism switched off, one at a time.
 
     .venv/bin/python bench/ablation.py [seeds] [processes]
 
-Prints a Markdown table: the share of the worth asked for that callers earn,
-by load, with everything on and the difference with one mechanism off (mean
-over the seeds). The model knows no failing or cold endpoints, so ejection and
-the limits of cold endpoints are not in it.
+Prints a Markdown table: the fraction of the requested value that is earned under
+each load with every mechanism on, and the difference with one of them off (mean over
+the seeds). The simulation has no failing or cold endpoints, so ejection and the
+limits for cold endpoints are not covered.
 """
 
 import math
@@ -19,8 +19,8 @@
 from plantainloft_node.placing.budget import RetryBudget
 from plantainloft_node.placing.spilling import SpillFall
 from plantainloft_standins import load_model
-from plantainloft_standins.deployments import near_scenario
-from plantainloft_standins.load_model import Scenario, Workload, play, worth_earned
+from plantainloft_standins.deployments import nearby_regions_scenario
+from plantainloft_standins.load_model import Scenario, Workload, earned_value_fraction, simulate
 
 ORDERS = Workload('orders', 55.0, 0.34, 0.27, 1.5, 0, 3.0, 24)
 HOLDS = Workload('holds', 66.0, 0.64, 0.47, 3.0, 1, 2.0, 24)
@@ -33,14 +33,14 @@
 
 
 class Load(NamedTuple):
-    """A named scenario."""
+    """A scenario and its heading in the table."""
 
     name: str
     scenario: Scenario
 
 
 class Mechanism(NamedTuple):
-    """What stands in its place when it is off; no target: nothing is off."""
+    """A mechanism and the replacement that switches it off; no target: all are on."""
 
     name: str
     target: object
@@ -48,41 +48,44 @@
     replacement: Any
 
 
-def _far() -> Scenario:
-    """Regions 55 ms apart, a third of the callers at a tenth of the slots."""
-    return near_scenario()._replace(
+def _distant_regions_scenario() -> Scenario:
+    """Return regions 55 ms apart, one with a third of the callers and 1/10 of the slots."""
+    return nearby_regions_scenario()._replace(
         endpoints_by_region={'west': 16, 'east': 22, 'south': 4},
-        far_s=0.055,
+        inter_region_delay_s=0.055,
         workloads=(LOOKUPS, HOLDS, ORDERS),
     )
 
 
-def _times(factor: float) -> Callable[[float], float]:
+def _constant(factor: float) -> Callable[[float], float]:
     return lambda now: factor
 
 
-def _burst(now: float) -> float:
+def _burst_rate(now: float) -> float:
     return 2.5 if BURST_S[0] < now < BURST_S[1] else 1.0
 
 
-def _slowness(number: int, now: float) -> float:
+def _slowdown(number: int, now: float) -> float:
     return SLOW_FACTOR if number == 1 and SLOW_S[0] < now < SLOW_S[1] else 1.0
 
 
 def loads() -> list[Load]:
-    """Return the scenarios to play."""
+    """Return the scenarios to simulate."""
     return [
-        Load('near, usual', near_scenario()),
-        Load('near, double', near_scenario()._replace(rate=_times(2.0))),
-        Load('far, usual', _far()),
-        Load('far, double', _far()._replace(rate=_times(2.0))),
-        Load('far, burst', _far()._replace(rate=_burst)),
-        Load('far, slow endpoints', _far()._replace(slowness=_slowness, rate=_times(1.3))),
+        Load('near, usual', nearby_regions_scenario()),
+        Load('near, double', nearby_regions_scenario()._replace(rate_factor=_constant(2.0))),
+        Load('far, usual', _distant_regions_scenario()),
+        Load('far, double', _distant_regions_scenario()._replace(rate_factor=_constant(2.0))),
+        Load('far, burst', _distant_regions_scenario()._replace(rate_factor=_burst_rate)),
+        Load(
+            'far, slow endpoints',
+            _distant_regions_scenario()._replace(slowdown=_slowdown, rate_factor=_constant(1.3)),
+        ),
     ]
 
 
 def _first_with_room(group: Any, wanted: Any, now: float) -> Any:
-    """Return the first in rank with a free slot, as placement once did."""
+    """Return the first endpoint in rank order with a free slot, warm or not."""
     for rank, state in enumerate(group):
         load = state.load(now)
         if load < state.record.slots * (choosing.SPILL_ROOM if rank else 1.0):
@@ -91,70 +94,72 @@
 
 
 def mechanisms() -> list[Mechanism]:
-    """Return everything on, then each mechanism that can be switched off."""
+    """Return the baseline, then each mechanism that can be switched off."""
     never = mock.Mock(return_value=False)
     return [
         Mechanism('everything on', None, '', None),
-        Mechanism('waits for who remembers', placement, 'earliest_completion', _first_with_room),
-        Mechanism('usual load of others', endpoints, 'USUAL_FADES_S', 0.001),
-        Mechanism('spills fall slowly after a start', SpillFall, 'is_too_fast', never),
-        Mechanism('slow endpoints passed over', endpoints, 'SLOW_FACTOR', math.inf),
-        Mechanism('shares of regions', placement.Placement, '_region', _own_region),
-        Mechanism('demand of others (beats)', load_model, 'demand_by_region', _unknown),
-        Mechanism('an endpoint elsewhere', placement, 'FAR_CANDIDATES', 0),
+        Mechanism('waits for warm endpoints', placement, 'earliest_completion', _first_with_room),
+        Mechanism('average load of other instances', endpoints, 'USUAL_FADES_S', 0.001),
+        Mechanism('gradual decrease of spilling after a start', SpillFall, 'is_too_fast', never),
+        Mechanism('slow endpoints skipped', endpoints, 'SLOW_FACTOR', math.inf),
+        Mechanism('region shares', placement.Placement, '_region', _own_region),
+        Mechanism('demand of other instances', load_model, 'demand_by_region', _no_demand),
+        Mechanism('candidates in other regions', placement, 'FAR_CANDIDATES', 0),
         Mechanism('queues by priority', choosing, 'QUEUE_BY_PRIORITY', (1.0, 1.0, 1.0)),
-        Mechanism('refusal by time to answer', choosing, '_answered_after_s', _at_once),
-        Mechanism('repeats', RetryBudget, 'take', never),
+        Mechanism('refusal by expected time', choosing, '_answered_after_s', _zero_wait),
+        Mechanism('retries', RetryBudget, 'take', never),
     ]
 
 
-def _own_region(this: placement.Placement, wanted: object) -> str:
-    return this.terms.region
+def _own_region(placement_: placement.Placement, wanted: object) -> str:
+    return placement_.terms.region
 
 
-def _unknown(instances: object) -> dict[str, dict[str, float]]:
+def _no_demand(instances: object) -> dict[str, dict[str, float]]:
     return {}
 
 
-def _at_once(state: object, load: float) -> float:
+def _zero_wait(state: object, load: float) -> float:
     return 0.0
 
 
-def earned(job: tuple[int, int, int]) -> float:
-    """Return the worth earned with one mechanism off, one load, one seed."""
+def simulate_job(job: tuple[int, int, int]) -> float:
+    """Return the earned value with one mechanism off, for one load and one seed."""
     number, load, seed = job
     mechanism = mechanisms()[number]
     scenario = loads()[load].scenario._replace(seed=seed)
     if mechanism.target is None:
-        return worth_earned(play(scenario))
+        return earned_value_fraction(simulate(scenario))
     with mock.patch.object(mechanism.target, mechanism.attribute, mechanism.replacement):
-        return worth_earned(play(scenario))
+        return earned_value_fraction(simulate(scenario))
 
 
 def main() -> None:
-    """Play all and print the table."""
+    """Run all simulations and print the table."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else SEEDS
     processes = int(sys.argv[2]) if len(sys.argv) > 2 else PROCESSES
     names = [mechanism.name for mechanism in mechanisms()]
-    heads = [load.name for load in loads()]
+    headings = [load.name for load in loads()]
     jobs = [
         (number, load, seed)
         for number in range(len(names))
-        for load in range(len(heads))
+        for load in range(len(headings))
         for seed in range(1, seeds + 1)
     ]
     with Pool(processes) as pool:
-        worth_by_job = dict(zip(jobs, pool.map(earned, jobs, chunksize=1), strict=True))
-    print('| off |', ' | '.join(heads), '|')
-    print('|', ' | '.join('---' for _ in range(len(heads) + 1)), '|')
+        value_by_job = dict(zip(jobs, pool.map(simulate_job, jobs, chunksize=1), strict=True))
+    print('| off |', ' | '.join(headings), '|')
+    print('|', ' | '.join('---' for _ in range(len(headings) + 1)), '|')
     for number, name in enumerate(names):
         cells = []
-        for load in range(len(heads)):
-            means = [
-                sum(worth_by_job[(one, load, seed)] for seed in range(1, seeds + 1)) / seeds
+        for load in range(len(headings)):
+            mean_values = [
+                sum(value_by_job[(one, load, seed)] for seed in range(1, seeds + 1)) / seeds
                 for one in (0, number)
             ]
-            cells.append(f'{means[1] - means[0]:+.3f}' if number else f'{means[0]:.3f}')
+            cells.append(
+                f'{mean_values[1] - mean_values[0]:+.3f}' if number else f'{mean_values[0]:.3f}'
+            )
         print(f'| {name} |', ' | '.join(cells), '|')
 
 
--- a/packages/standins/src/plantainloft_standins/deployments.py
+++ b/packages/standins/src/plantainloft_standins/deployments.py
@@ -1,7 +1,7 @@
-"""The two deployments of the brief, scaled for one machine.
+"""Two example deployments, scaled down for one machine, and a load scenario.
 
-Each gives regions with two availability zones, services, and how many
-endpoints each service has per zone, with the slots of the brief.
+A deployment has regions with two availability zones each, and services with a number
+of endpoints per zone and slots per endpoint.
 """
 
 from types import MappingProxyType
@@ -17,12 +17,12 @@
     'Deployment',
     'ServicePlan',
     'initial_patch',
-    'near_scenario',
+    'nearby_regions_scenario',
 ]
 
 
 class ServicePlan(NamedTuple):
-    """A service: endpoints per zone, slots each, service time in ms.
+    """A service: endpoints per zone, slots per endpoint, service time in ms.
 
     A request for ``fatal_path`` crashes its endpoint; empty: none does.
     """
@@ -36,7 +36,7 @@
 
 
 class Deployment(NamedTuple):
-    """A customer's deployment: regions and their zones, services."""
+    """A customer's deployment: regions, services and the capacity of a region."""
 
     name: str
     regions: tuple[str, ...]
@@ -78,22 +78,24 @@
 )
 
 
-def _full(name: str, *, per_zone: tuple[int, int], service_ms: float, capacity: int) -> Deployment:
-    """Return deployment ``name`` with the brief's number of endpoints."""
-    small = DEPLOYMENTS[name]
+def _full_size(
+    name: str, *, per_zone: tuple[int, int], service_ms: float, capacity: int
+) -> Deployment:
+    """Return deployment ``name`` with its full number of endpoints."""
+    scaled_down = DEPLOYMENTS[name]
     services = tuple(
         plan._replace(per_zone=count, service_ms=service_ms)
-        for plan, count in zip(small.services, per_zone, strict=True)
+        for plan, count in zip(scaled_down.services, per_zone, strict=True)
     )
-    return small._replace(services=services, region_capacity=capacity)
+    return scaled_down._replace(services=services, region_capacity=capacity)
 
 
-# About 30 and a dozen endpoints; requests of 150 ms keep slots busy at a
-# rate that one machine can send.
+# 30 and 12 endpoints for the two services. A service time of 150 ms keeps slots busy
+# at a request rate that one machine can send.
 FULL_DEPLOYMENTS = MappingProxyType(
     {
-        'karaduman': _full('karaduman', per_zone=(5, 2), service_ms=150, capacity=60),
-        'spotterline': _full('spotterline', per_zone=(5, 2), service_ms=150, capacity=48),
+        'karaduman': _full_size('karaduman', per_zone=(5, 2), service_ms=150, capacity=60),
+        'spotterline': _full_size('spotterline', per_zone=(5, 2), service_ms=150, capacity=48),
     }
 )
 
@@ -104,7 +106,7 @@
     endpoint_addresses: dict[str, str],
     entries_per_zone: int,
 ) -> list[dict[str, Any]]:
-    """Return the JSON Patch making version 1 of ``deployment``."""
+    """Return the JSON Patch that creates version 1 of ``deployment``."""
     endpoints = {}
     for plan in deployment.services:
         for region in deployment.regions:
@@ -140,7 +142,7 @@
 
 
 def endpoint_names(deployment: Deployment) -> list[tuple[str, ServicePlan]]:
-    """Return every endpoint's name with its service plan."""
+    """Return the name of every endpoint with the plan of its service."""
     return [
         (f'{plan.name}-{zone}-{index}', plan)
         for plan in deployment.services
@@ -150,40 +152,40 @@
     ]
 
 
-# Two kinds of request to one service, as at the larger of today's sites:
-# reads that may wait less and count less, writes that count twice.
+# Two kinds of request to one service, modelled on a large site: reads with a shorter
+# objective, and writes with higher priority and twice the value.
 READS = Workload(
     name='reads',
     per_s=268.0,
-    work_s=0.36,
+    cold_service_s=0.36,
     objective_s=0.234,
     timeout_s=1.2,
     priority=2,
-    worth=1.0,
-    objects=66,
+    value=1.0,
+    key_count=66,
 )
 WRITES = Workload(
     name='writes',
     per_s=134.0,
-    work_s=0.48,
+    cold_service_s=0.48,
     objective_s=0.384,
     timeout_s=1.2,
     priority=1,
-    worth=2.0,
-    objects=33,
+    value=2.0,
+    key_count=33,
 )
 
 
-def near_scenario() -> Scenario:
-    """Regions 20 ms apart, a third of the callers at a fourteenth of the slots."""
+def nearby_regions_scenario() -> Scenario:
+    """Return regions 20 ms apart, one with a third of the callers and 1/14 of the slots."""
     return Scenario(
         endpoints_by_region={'west': 12, 'east': 14, 'south': 2},
         instances_per_region=4,
         slots=4,
         queue=12,
-        remembered=43,
-        warm_part=0.3,
-        far_s=0.02,
-        length_s=15.0,
+        cache_size=43,
+        warm_factor=0.3,
+        inter_region_delay_s=0.02,
+        duration_s=15.0,
         workloads=(READS, WRITES),
     )
--- a/packages/standins/src/plantainloft_standins/limit_model.py
+++ b/packages/standins/src/plantainloft_standins/limit_model.py
@@ -1,8 +1,8 @@
-"""Organisations that send up to their limits and beyond, on the model of the fleet.
+"""Simulation of organisations that send up to their request limits and beyond.
 
-The real limiters, books and datagrams of each instance, in virtual time.
-Requests come at random moments and are run at once where a limiter lets them
-pass.
+Runs the production limiters, membership and datagrams of each entry instance in
+virtual time, on the simulated fleet. Requests arrive at random times and take no
+time where a limiter admits them.
 """
 
 import random
@@ -18,14 +18,14 @@
 
 __all__ = ['CallerFlow', 'LimitPlay', 'model_organisation']
 
-SETTLED_S = 8.0
+SETTLE_TIME_S = 8.0
 
 
 class CallerFlow(NamedTuple):
-    """Requests of an organisation, ``per_s`` in all, spread over ``instances``.
+    """Requests of an organisation, ``per_s`` in total, spread over ``instances``.
 
-    ``begins_s`` and ``ends_s`` count from the start of the play. Without
-    ``instances`` they come at all that run.
+    ``begins_s`` and ``ends_s`` count from the start of the simulation. If
+    ``instances`` is empty, all running instances receive requests.
     """
 
     organisation: Organisation
@@ -38,38 +38,38 @@
 class _Request(NamedTuple):
     organisation: str
     at: float
-    passed: bool
+    admitted: bool
 
 
 class LimitPlay:
-    """Plays flows of requests at a fleet, and keeps what became of each."""
+    """Simulates flows of requests to a fleet and records which were admitted."""
 
     def __init__(self, *, model: FleetModel, flows: Iterable[CallerFlow], seed: int) -> None:
         self.model = model
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._requests: list[_Request] = []
         model.start_all()
         self._tick()
-        model.run_for(SETTLED_S)
+        model.run_for(SETTLE_TIME_S)
         self.began_at = model.now
         for flow in flows:
-            model.after(flow.begins_s, partial(self._arrive, flow))
+            model.after(flow.begins_s, partial(self._send_next, flow))
 
     def run_for(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance virtual time."""
         self.model.run_for(seconds)
 
     def passed(self, name: str, *, after_s: float = 0.0) -> int:
-        """Return the requests of an organisation let pass from then on."""
-        return sum(one.passed for one in self._of(name, after_s))
+        """Return how many requests of an organisation were admitted after ``after_s``."""
+        return sum(one.admitted for one in self._requests_of(name, after_s))
 
     def refused(self, name: str, *, after_s: float = 0.0) -> int:
-        """Return the requests of an organisation refused from then on."""
-        return sum(not one.passed for one in self._of(name, after_s))
+        """Return how many requests of an organisation were refused after ``after_s``."""
+        return sum(not one.admitted for one in self._requests_of(name, after_s))
 
     def most_in_window(self, name: str, window_s: float, *, after_s: float = 0.0) -> int:
-        """Return the most that passed in any ``window_s`` seconds."""
-        times = [one.at for one in self._of(name, after_s) if one.passed]
+        """Return the most requests admitted in any ``window_s`` seconds."""
+        times = [one.at for one in self._requests_of(name, after_s) if one.admitted]
         first = 0
         most = 0
         for last, at in enumerate(times):
@@ -80,38 +80,38 @@
 
     def refused_by_organisation(self) -> Counter[str]:
         """Return how many requests of each organisation were refused."""
-        return Counter(one.organisation for one in self._requests if not one.passed)
+        return Counter(one.organisation for one in self._requests if not one.admitted)
 
-    def _of(self, name: str, after_s: float) -> list[_Request]:
+    def _requests_of(self, name: str, after_s: float) -> list[_Request]:
         since = self.began_at + after_s
         return [one for one in self._requests if one.organisation == name and one.at >= since]
 
-    def _arrive(self, flow: CallerFlow) -> None:
+    def _send_next(self, flow: CallerFlow) -> None:
         now = self.model.now
         if now - self.began_at >= flow.ends_s:
             return
-        self.model.after(self._chance.expovariate(flow.per_s), partial(self._arrive, flow))
+        self.model.after(self._rng.expovariate(flow.per_s), partial(self._send_next, flow))
         running = self.model.running()
         names = [name for name in flow.instances or running if name in running]
         if not names:
             return
-        instance = self.model.instance_by_name[self._chance.choice(names)]
-        over = instance.limiter.admit(flow.organisation, now)
-        self._requests.append(_Request(flow.organisation.name, now, over is None))
+        instance = self.model.instance_by_name[self._rng.choice(names)]
+        refusal = instance.limiter.admit(flow.organisation, now)
+        self._requests.append(_Request(flow.organisation.name, now, refusal is None))
 
     def _tick(self) -> None:
         for instance in self.model.instance_by_name.values():
             if instance.runs:
-                _update(instance, self.model.now)
+                _update_limiter(instance, self.model.now)
         self.model.after(TICK_S, self._tick)
 
 
 def model_organisation(name: str, *, rate: float, burst: float) -> Organisation:
-    """Return an organisation with a limit and nothing else."""
+    """Return an organisation with a request limit and no other settings."""
     return Organisation(name, frozenset(), limit=RequestLimit(rate, burst))
 
 
-def _update(instance: ModelInstance, now: float) -> None:
+def _update_limiter(instance: ModelInstance, now: float) -> None:
     limiter = instance.limiter
     uses = uses_of_fleet(instance.members, limiter.uses(now), now)
     is_fresh = has_fresh_uses(instance.members, now)
--- a/packages/standins/src/plantainloft_standins/load_model.py
+++ b/packages/standins/src/plantainloft_standins/load_model.py
@@ -1,9 +1,9 @@
-"""A model of callers, entry instances and endpoints under load.
+"""Discrete-event simulation of callers, entry instances and endpoints under load.
 
-Events in simulated time around the real placement: endpoints have slots,
-a queue and a memory of the objects that they worked on lately; work on an
-object they remember takes a part of the time. It shows what a placement
-or refusal policy does to callers before it is deployed.
+Runs the production placement code in simulated time. Endpoints have slots, a queue
+and an LRU cache of the objects that they worked on; work on a cached object takes a
+fraction of the time. Shows the effect of a placement or load-shedding policy on
+callers before it is deployed.
 """
 
 import heapq
@@ -28,28 +28,28 @@
 __all__ = [
     'LoadModel',
     'Scenario',
-    'Tally',
     'Workload',
+    'WorkloadStats',
+    'earned_value_fraction',
     'largest_shift',
-    'play',
-    'worth_earned',
+    'simulate',
 ]
 
 SERVICE = 'modelled'
 TICK_S = 0.25
-# Requests are counted by these to find the shift between any two windows.
+# Requests are counted in bins of this length to compare any two adjacent windows.
 BIN_S = 0.5
 MAX_ATTEMPTS = 2
 RETRY_RATIO = 0.2
 RETRY_EXTRA = 64.0
 RETRY_WINDOW_S = 10.0
 COLD_RATE = 11.0
-RETURN_S = 0.3
-# Work and return times vary evenly between these multiples.
-WORK_SPREAD = (0.8, 1.2)
-RETURN_SPREAD = (0.5, 1.5)
-NEAR_S = 0.001
-LATE_PART = 0.2
+CALLER_RETRY_DELAY_S = 0.3
+# Service times and retry delays vary uniformly between these multiples.
+SERVICE_TIME_SPREAD = (0.8, 1.2)
+CALLER_RETRY_SPREAD = (0.5, 1.5)
+INTRA_REGION_DELAY_S = 0.001
+LATE_VALUE_FACTOR = 0.2
 COLD_OVER = 1.5
 COLD_SLACK = 5.0
 WARMUP_S = 3.0
@@ -57,59 +57,65 @@
 
 
 class Workload(NamedTuple):
-    """One kind of request: rate in all (1/s), work when cold (s), terms."""
+    """One kind of request: total rate (1/s), service time when cold (s), objectives.
+
+    Requests are spread over ``key_count`` keys per region. ``value`` is the value of an
+    answer within the objective.
+    """
 
     name: str
     per_s: float
-    work_s: float
+    cold_service_s: float
     objective_s: float
     timeout_s: float
     priority: int
-    worth: float
-    objects: int
+    value: float
+    key_count: int
 
 
 class Scenario(NamedTuple):
-    """Where endpoints and callers are, and for how long (s) to play.
+    """Endpoints, callers, load and duration of a simulation.
 
-    ``rate`` multiplies all workloads as a function of time; ``slowness``
-    multiplies the work at the endpoint of a number as a function of time.
+    ``cache_size`` is the number of objects that an endpoint caches. Service times of
+    cached objects are multiplied by ``warm_factor``. ``rate_factor`` multiplies the
+    rate of all workloads as a function of time. ``slowdown`` multiplies the service
+    time as a function of the endpoint's number and of time.
     """
 
     endpoints_by_region: dict[str, int]
     instances_per_region: int
     slots: int
     queue: int
-    remembered: int
-    warm_part: float
-    far_s: float
-    length_s: float
+    cache_size: int
+    warm_factor: float
+    inter_region_delay_s: float
+    duration_s: float
     workloads: tuple[Workload, ...]
-    rate: Callable[[float], float] = lambda now: 1.0
-    slowness: Callable[[int, float], float] = lambda number, now: 1.0
+    rate_factor: Callable[[float], float] = lambda now: 1.0
+    slowdown: Callable[[int, float], float] = lambda number, now: 1.0
     seed: int = 1
 
 
-class Tally:
-    """What callers of one workload got."""
+class WorkloadStats:
+    """Counts of one workload's requests by how they ended."""
 
     def __init__(self) -> None:
-        self.asked = 0
-        self.in_objective = 0
+        self.total = 0
+        self.within_objective = 0
         self.late = 0
         self.refused = 0
         self.failed = 0
 
     @property
-    def share(self) -> float:
-        """The share (0..1) answered within the objective."""
-        return self.in_objective / max(1, self.asked)
+    def objective_fraction(self) -> float:
+        """The fraction (0..1) of requests answered within the objective."""
+        return self.within_objective / max(1, self.total)
 
 
 class _Event(NamedTuple):
     at: float
     number: int
-    act: Callable[[], None]
+    callback: Callable[[], None]
 
 
 class _Request:
@@ -119,16 +125,16 @@
         self.key = key
         self.first_at = at
         self.asked_at = at
-        self.returned = False
+        self.retried_by_caller = False
         self.sent_at = at
         self.had_room = False
         self.sent = 0
         self.tried: set[str] = set()
-        self.over = False
+        self.is_finished = False
 
 
 class _Endpoint:
-    """Slots, queue and memory of one modelled endpoint."""
+    """Slots, queue and cache of one simulated endpoint."""
 
     def __init__(self, *, model: 'LoadModel', region: str, number: int) -> None:
         self.region = region
@@ -136,14 +142,14 @@
         self._model = model
         self.running: set[_Request] = set()
         self.waiting: deque[tuple[_Request, _Instance]] = deque()
-        self._memory: OrderedDict[str, None] = OrderedDict()
+        self._cache: OrderedDict[str, None] = OrderedDict()
 
     @property
     def busy(self) -> int:
         return len(self.running) + len(self.waiting)
 
     def arrive(self, request: _Request, sender: '_Instance') -> bool:
-        """Take a request, or shed it."""
+        """Run or queue a request; return false if the queue is full."""
         scenario = self._model.scenario
         if len(self.running) < scenario.slots:
             self._run(request, sender)
@@ -153,46 +159,46 @@
         self.waiting.append((request, sender))
         return True
 
-    def leave(self, request: _Request) -> None:
-        """Drop a request that its caller gave up."""
+    def cancel(self, request: _Request) -> None:
+        """Drop a request that has timed out at its caller."""
         if request in self.running:
             self.running.discard(request)
-            self._next()
+            self._start_next()
         else:
             self.waiting = deque(entry for entry in self.waiting if entry[0] is not request)
 
     def _run(self, request: _Request, sender: '_Instance') -> None:
         self.running.add(request)
         scenario = self._model.scenario
-        warm = request.key in self._memory
-        spread = self._model.random.uniform(*WORK_SPREAD)
-        slowness = scenario.slowness(self._number, self._model.now)
-        took = request.workload.work_s * spread * slowness
-        if warm:
-            took *= scenario.warm_part
-        self._model.later(took, lambda: self._finish(request, sender))
+        is_warm = request.key in self._cache
+        spread = self._model.random.uniform(*SERVICE_TIME_SPREAD)
+        slowdown = scenario.slowdown(self._number, self._model.now)
+        service_time_s = request.workload.cold_service_s * spread * slowdown
+        if is_warm:
+            service_time_s *= scenario.warm_factor
+        self._model.schedule(service_time_s, lambda: self._finish(request, sender))
 
     def _finish(self, request: _Request, sender: '_Instance') -> None:
         if request not in self.running:
             return
         self.running.discard(request)
-        self._memory[request.key] = None
-        self._memory.move_to_end(request.key)
-        while len(self._memory) > self._model.scenario.remembered:
-            self._memory.popitem(last=False)
+        self._cache[request.key] = None
+        self._cache.move_to_end(request.key)
+        while len(self._cache) > self._model.scenario.cache_size:
+            self._cache.popitem(last=False)
         busy = self.busy
-        delay = self._model.delay(self.region, sender.region)
-        self._model.later(delay, lambda: sender.answered(request, self, busy))
-        self._next()
+        delay = self._model.one_way_delay_s(self.region, sender.region)
+        self._model.schedule(delay, lambda: sender.on_answer(request, self, busy))
+        self._start_next()
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         if self.waiting and len(self.running) < self._model.scenario.slots:
             request, sender = self.waiting.popleft()
             self._run(request, sender)
 
 
 class _Instance:
-    """One entry instance with its own beliefs and the real placement."""
+    """One entry instance with its own view of the endpoints and production placement."""
 
     def __init__(self, *, model: 'LoadModel', name: str, region: str) -> None:
         self.region = region
@@ -207,18 +213,22 @@
         self._state_by_request: dict[_Request, EndpointState] = {}
         for endpoint_id, endpoint in model.endpoint_by_id.items():
             self.book.put(_record(endpoint_id, endpoint.region, model.scenario.slots), 0.0)
-            self.book.distances.note(endpoint.region, 2 * model.delay(region, endpoint.region))
+            self.book.distances.note(
+                endpoint.region, 2 * model.one_way_delay_s(region, endpoint.region)
+            )
 
-    def ask(self, request: _Request) -> None:
-        """Handle a request that has arrived."""
+    def handle(self, request: _Request) -> None:
+        """Place a request that has arrived and start its timeout."""
         model = self._model
         self.meter.note(SERVICE)
         self._budget.note_request(model.now)
-        model.later(request.workload.timeout_s, lambda: self._time_out(request, request.asked_at))
-        self._place(request)
+        model.schedule(
+            request.workload.timeout_s, lambda: self._on_timeout(request, request.asked_at)
+        )
+        self._place_request(request)
 
-    def answered(self, request: _Request, endpoint: _Endpoint, busy: int) -> None:
-        """Take an endpoint's answer and its report."""
+    def on_answer(self, request: _Request, endpoint: _Endpoint, busy: int) -> None:
+        """Process an endpoint's answer and its load report."""
         state = self._state_by_request.pop(request, None)
         if state is None:
             return
@@ -232,14 +242,16 @@
             had_room=request.had_room,
         )
         state.note_report(busy=busy, now=self._model.now)
-        self._model.end(request, served=True)
+        self._model.record_end(request, served=True)
 
-    def _place(self, request: _Request) -> None:
+    def _place_request(self, request: _Request) -> None:
         model = self._model
         route = model.routes[request.workload.name]
-        left_s = request.asked_at + route.timeout_s - model.now
-        wanted = PlacementRequest(route, SERVICE, request.key, frozenset(request.tried), left_s)
-        choice = self.placement.choose(wanted, model.spec, model.now)
+        remaining_s = request.asked_at + route.timeout_s - model.now
+        placement_request = PlacementRequest(
+            route, SERVICE, request.key, frozenset(request.tried), remaining_s
+        )
+        choice = self.placement.choose(placement_request, model.spec, model.now)
         if not isinstance(choice, Selection):
             model.refuse(request, self)
             return
@@ -251,19 +263,19 @@
         request.had_room = choice.load < state.record.slots
         request.tried.add(state.record.id)
         request.sent += 1
-        delay = model.delay(self.region, endpoint.region)
-        model.later(delay, lambda: self._arrive(request, endpoint))
+        delay = model.one_way_delay_s(self.region, endpoint.region)
+        model.schedule(delay, lambda: self._arrive(request, endpoint))
 
     def _arrive(self, request: _Request, endpoint: _Endpoint) -> None:
-        if request.over or request not in self._state_by_request:
+        if request.is_finished or request not in self._state_by_request:
             return
-        self._model.note_run(request.region, endpoint.region)
+        self._model.record_arrival(request.region, endpoint.region)
         if not endpoint.arrive(request, self):
             busy = endpoint.busy
-            delay = self._model.delay(self.region, endpoint.region)
-            self._model.later(delay, lambda: self._shed(request, busy))
+            delay = self._model.one_way_delay_s(self.region, endpoint.region)
+            self._model.schedule(delay, lambda: self._on_shed(request, busy))
 
-    def _shed(self, request: _Request, busy: int) -> None:
+    def _on_shed(self, request: _Request, busy: int) -> None:
         state = self._state_by_request.pop(request, None)
         if state is None:
             return
@@ -273,32 +285,32 @@
         self._model.shed += 1
         allowance = Allowance(RETRY_RATIO, RETRY_EXTRA, len(self._model.instances))
         if request.sent < MAX_ATTEMPTS and self._budget.take(now, allowance):
-            self._place(request)
+            self._place_request(request)
         else:
             self._model.refuse(request, self)
 
-    def _time_out(self, request: _Request, asked_at: float) -> None:
-        if request.over or request.asked_at != asked_at:
+    def _on_timeout(self, request: _Request, asked_at: float) -> None:
+        if request.is_finished or request.asked_at != asked_at:
             return
         state = self._state_by_request.pop(request, None)
         if state is not None:
             state.in_flight -= 1
             state.note_given_up(self._model.now - request.sent_at, self._model.now)
-            self._model.endpoint_by_id[state.record.id].leave(request)
-        self._model.end(request, served=False)
+            self._model.endpoint_by_id[state.record.id].cancel(request)
+        self._model.record_end(request, served=False)
 
 
 class LoadModel:
-    """The event loop, the parts, and what callers got."""
+    """The event loop, the simulated instances and endpoints, and the results."""
 
     def __init__(self, *, scenario: Scenario) -> None:
         self.scenario = scenario
         self.random = random.Random(scenario.seed)
         self.now = 0.0
         self.shed = 0
-        self.runs_by_bin: defaultdict[tuple[str, int], Counter[str]] = defaultdict(Counter)
+        self.arrivals_by_bin: defaultdict[tuple[str, int], Counter[str]] = defaultdict(Counter)
         self._events: list[_Event] = []
-        self._numbers = itertools.count()
+        self._event_numbers = itertools.count()
         self.regions = tuple(scenario.endpoints_by_region)
         self.endpoint_by_id = {
             f'{region}-{number}': _Endpoint(model=self, region=region, number=number)
@@ -307,7 +319,7 @@
         }
         self.spec = ServiceSpec(SERVICE, '/health', MAX_CONNECTIONS, WARMUP_S, COLD_RATE)
         self.routes = {workload.name: _route(workload) for workload in scenario.workloads}
-        self.tally_by_name = {workload.name: Tally() for workload in scenario.workloads}
+        self.stats_by_workload = {workload.name: WorkloadStats() for workload in scenario.workloads}
         self.instances = [
             _Instance(model=self, name=f'{region}-{number}', region=region)
             for region in self.regions
@@ -315,69 +327,71 @@
         ]
 
     def run(self) -> None:
-        """Play the scenario."""
+        """Run the simulation to its end."""
         for workload in self.scenario.workloads:
-            self._arrive_next(workload)
+            self._schedule_arrival(workload)
         self._tick()
         while self._events:
             event = heapq.heappop(self._events)
-            if event.at > self.scenario.length_s:
+            if event.at > self.scenario.duration_s:
                 return
             self.now = event.at
-            event.act()
+            event.callback()
 
-    def later(self, delay_s: float, act: Callable[[], None]) -> None:
-        """Do ``act`` after ``delay_s``."""
-        heapq.heappush(self._events, _Event(self.now + delay_s, next(self._numbers), act))
+    def schedule(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Call ``callback`` after ``delay_s`` of simulated time."""
+        heapq.heappush(
+            self._events, _Event(self.now + delay_s, next(self._event_numbers), callback)
+        )
 
-    def delay(self, one: str, other: str) -> float:
+    def one_way_delay_s(self, one: str, other: str) -> float:
         """Return the one-way delay between two regions."""
-        return NEAR_S if one == other else self.scenario.far_s
+        return INTRA_REGION_DELAY_S if one == other else self.scenario.inter_region_delay_s
 
-    def note_run(self, callers: str, region: str) -> None:
-        """Count a request of ``callers``' region as sent to ``region``."""
-        self.runs_by_bin[(callers, int(self.now / BIN_S))][region] += 1
+    def record_arrival(self, callers: str, region: str) -> None:
+        """Count a request from region ``callers`` that arrives at an endpoint in ``region``."""
+        self.arrivals_by_bin[(callers, int(self.now / BIN_S))][region] += 1
 
-    def end(self, request: _Request, *, served: bool) -> None:
+    def record_end(self, request: _Request, *, served: bool) -> None:
         """Count how a request ended."""
-        request.over = True
-        tally = self.tally_by_name[request.workload.name]
-        took_s = self.now - request.first_at
-        if served and took_s <= request.workload.objective_s:
-            tally.in_objective += 1
+        request.is_finished = True
+        stats = self.stats_by_workload[request.workload.name]
+        elapsed_s = self.now - request.first_at
+        if served and elapsed_s <= request.workload.objective_s:
+            stats.within_objective += 1
         elif served:
-            tally.late += 1
+            stats.late += 1
         else:
-            tally.failed += 1
+            stats.failed += 1
 
     def refuse(self, request: _Request, instance: _Instance) -> None:
-        """Refuse a request; its caller comes back once."""
-        if request.returned:
-            request.over = True
-            self.tally_by_name[request.workload.name].refused += 1
+        """Refuse a request; its caller retries once after a delay."""
+        if request.retried_by_caller:
+            request.is_finished = True
+            self.stats_by_workload[request.workload.name].refused += 1
             return
-        request.returned = True
+        request.retried_by_caller = True
         request.sent = 0
         request.tried = set()
-        delay = RETURN_S * self.random.uniform(*RETURN_SPREAD)
-        self.later(delay, lambda: self._come_back(request, instance))
+        delay = CALLER_RETRY_DELAY_S * self.random.uniform(*CALLER_RETRY_SPREAD)
+        self.schedule(delay, lambda: self._retry_from_caller(request, instance))
 
-    def _come_back(self, request: _Request, instance: _Instance) -> None:
+    def _retry_from_caller(self, request: _Request, instance: _Instance) -> None:
         request.asked_at = self.now
-        instance.ask(request)
+        instance.handle(request)
 
-    def _arrive_next(self, workload: Workload) -> None:
-        rate = workload.per_s * self.scenario.rate(self.now)
-        self.later(self.random.expovariate(rate), lambda: self._arrival(workload))
+    def _schedule_arrival(self, workload: Workload) -> None:
+        rate_per_s = workload.per_s * self.scenario.rate_factor(self.now)
+        self.schedule(self.random.expovariate(rate_per_s), lambda: self._on_arrival(workload))
 
-    def _arrival(self, workload: Workload) -> None:
+    def _on_arrival(self, workload: Workload) -> None:
         region = self.random.choice(self.regions)
-        key = f'{workload.name}-{region}-{self.random.randrange(workload.objects)}'
+        key = f'{workload.name}-{region}-{self.random.randrange(workload.key_count)}'
         request = _Request(workload=workload, region=region, key=key, at=self.now)
-        self.tally_by_name[workload.name].asked += 1
-        near = [instance for instance in self.instances if instance.region == region]
-        self.random.choice(near).ask(request)
-        self._arrive_next(workload)
+        self.stats_by_workload[workload.name].total += 1
+        local_instances = [instance for instance in self.instances if instance.region == region]
+        self.random.choice(local_instances).handle(request)
+        self._schedule_arrival(workload)
 
     def _tick(self) -> None:
         demands = []
@@ -387,54 +401,55 @@
         total = demand_by_region(demands)
         for instance in self.instances:
             instance.placement.update_regions(total)
-        self.later(TICK_S, self._tick)
+        self.schedule(TICK_S, self._tick)
 
 
-def play(scenario: Scenario) -> LoadModel:
-    """Play ``scenario`` and return the model with its tallies."""
+def simulate(scenario: Scenario) -> LoadModel:
+    """Simulate ``scenario`` and return the model with its results."""
     model = LoadModel(scenario=scenario)
     model.run()
     return model
 
 
-def worth_earned(model: LoadModel) -> float:
-    """Return the share (0..1) of the worth asked for that was earned.
+def earned_value_fraction(model: LoadModel) -> float:
+    """Return the value earned as a fraction (0..1) of the value of all requests.
 
-    An answer that comes late earns ``LATE_PART`` of its worth.
+    An answer outside the objective earns ``LATE_VALUE_FACTOR`` of its value.
     """
-    earned = 0.0
-    asked = 0.0
+    earned_value = 0.0
+    requested_value = 0.0
     for workload in model.scenario.workloads:
-        tally = model.tally_by_name[workload.name]
-        earned += workload.worth * (tally.in_objective + LATE_PART * tally.late)
-        asked += workload.worth * tally.asked
-    return earned / asked
+        stats = model.stats_by_workload[workload.name]
+        earned_value += workload.value * (stats.within_objective + LATE_VALUE_FACTOR * stats.late)
+        requested_value += workload.value * stats.total
+    return earned_value / requested_value
 
 
 def largest_shift(model: LoadModel, *, window_s: float) -> float:
-    """Return the largest share (0..1) of a region's requests that moved.
+    """Return the largest fraction (0..1) of a region's requests that changed region.
 
-    Moved are those that run in another region in one window than in the
-    window before it; windows slide.
+    Compares where requests run in each sliding window and in the window after it.
     """
     bins = int(window_s / BIN_S)
-    last = int(model.scenario.length_s / BIN_S)
+    last = int(model.scenario.duration_s / BIN_S)
     shifts = [
-        _moved(_runs(model, region, at - bins, at), _runs(model, region, at, at + bins))
+        _moved_fraction(
+            _sum_arrivals(model, region, at - bins, at), _sum_arrivals(model, region, at, at + bins)
+        )
         for region in model.regions
         for at in range(bins, last - bins + 1)
     ]
     return max(shifts, default=0.0)
 
 
-def _runs(model: LoadModel, region: str, start: int, end: int) -> Counter[str]:
+def _sum_arrivals(model: LoadModel, region: str, start: int, end: int) -> Counter[str]:
     total: Counter[str] = Counter()
     for number in range(start, end):
-        total.update(model.runs_by_bin[(region, number)])
+        total.update(model.arrivals_by_bin[(region, number)])
     return total
 
 
-def _moved(before: Counter[str], after: Counter[str]) -> float:
+def _moved_fraction(before: Counter[str], after: Counter[str]) -> float:
     if not before or not after:
         return 0.0
     regions = before.keys() | after.keys()
