--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -1,8 +1,9 @@
-"""A whole session in separate processes, kept as a golden transcript.
+"""A complete session in separate processes, compared with a recorded transcript.
 
-Table service, twelve endpoints and six entry instances run as their own
-processes. The operator's version 1 is in force; callers look up and send
-requests; a booking retried with its key runs once; two operators race.
+The table service, twelve endpoints and six entry instances run as processes with
+version 1 of the configuration. Callers look up instances and send requests, a
+request retried with its idempotency key runs once, and two operators commit
+concurrently.
 """
 
 import anyio
@@ -23,12 +24,12 @@
 
 
 def _lookups(cluster: Cluster) -> list[dict[str, object]]:
-    first = next(iter(cluster.entries_by_name.values()))
+    entry_url = next(iter(cluster.entries_by_name.values()))
     names = _names_by_url(cluster)
-    rows = []
+    lookups = []
     for block in BLOCKS:
-        answer = httpx.get(f'{first}/v1/lookup', params={'client_block': block}).json()
-        rows.append(
+        answer = httpx.get(f'{entry_url}/v1/lookup', params={'client_block': block}).json()
+        lookups.append(
             {
                 'block': block,
                 'version': answer['version'],
@@ -36,7 +37,7 @@
                 'ttl_s': answer['ttl_s'],
             }
         )
-    return rows
+    return lookups
 
 
 def _request(
@@ -59,8 +60,8 @@
     }
 
 
-def _race(cluster: Cluster) -> list[str]:
-    async def both() -> list[str]:
+def _commit_concurrently(cluster: Cluster) -> list[str]:
+    async def commit_both() -> list[str]:
         client = TableClient(base_url=cluster.table_url, timeout_s=2.0)
         results: list[object] = []
 
@@ -81,11 +82,11 @@
             tasks.start_soon(submit, 'mehmet')
         head = await read_head(client)
         await client.close()
-        kinds = sorted(type(result).__name__ for result in results)
+        outcome_names = sorted(type(result).__name__ for result in results)
         assert all(isinstance(result, Committed | Conflict) for result in results)
-        return [*kinds, f'head {head}']
+        return [*outcome_names, f'head {head}']
 
-    return anyio.run(both)
+    return anyio.run(commit_both)
 
 
 def test_whole_session(karaduman: Cluster, snapshot: SnapshotAssertion) -> None:
@@ -96,12 +97,12 @@
         _request(entry, 'POST', 'case-desk', 'hearing notice 7', 'notice-7'),
         _request(entry, 'POST', 'settlements', 'settlement 9', 'settlement-9'),
     ]
-    other = karaduman.entries_by_name['entry-ankara-a-0']
-    calls.append(_request(other, 'POST', 'settlements', 'settlement 9', 'settlement-9'))
+    other_entry = karaduman.entries_by_name['entry-ankara-a-0']
+    calls.append(_request(other_entry, 'POST', 'settlements', 'settlement 9', 'settlement-9'))
     transcript['calls'] = calls
     runs = httpx.get(f'{karaduman.endpoints_by_name["settlements-istanbul-a-0"]}/executions').json()
     transcript['settlement_runs'] = runs['runs_by_key']
-    transcript['race'] = _race(karaduman)
+    transcript['race'] = _commit_concurrently(karaduman)
     for url in karaduman.entries_by_name.values():
         wait_for_version(url, 2)
     transcript['versions'] = sorted(
--- a/tests/test_region_loss.py
+++ b/tests/test_region_loss.py
@@ -1,4 +1,4 @@
-"""A region's endpoints are lost: traffic moves within the cap, no more."""
+"""Loss of a region's endpoints: traffic moves to other regions only up to the cap."""
 
 import collections
 import signal
@@ -10,9 +10,9 @@
 from plantainloft_standins.cluster import Cluster
 
 REQUESTS = 60
-PAUSE_S = 0.1
+REQUEST_INTERVAL_S = 0.1
 CAP = 0.2
-# The cap holds for any span of this length; after it, as much again may move.
+# The cap applies to any time span of this length; the same share may move in the next.
 CAP_WINDOW_S = 10.0
 ENTRY = 'entry-ankara-a-0'
 LOST = ('case-desk-ankara-a-0', 'case-desk-ankara-b-0')
@@ -21,15 +21,15 @@
 def test_lost_region_moves_within_the_cap_and_refuses_the_rest_at_once(
     tiny: Cluster, snapshot: SnapshotAssertion
 ) -> None:
-    """Symptom: a region's loss lands all its traffic on the others' cold
-    caches, or its requests hang until their deadline.
+    """Symptom: when a region is lost, all its traffic moves to the cold caches of
+    others, or its requests hang until their deadline.
 
-    Sequence: both endpoints of one region are killed; its entry instance
-    goes on getting requests for six seconds. Cause guarded: failover
-    without a cap; refusals held back instead of said at once.
+    Both endpoints of one region are killed while its entry instance keeps getting
+    requests for six seconds. Guards against failover without a cap, and against
+    refusals that are delayed.
 
-    AdmittedRequest by windows of the cap: beside other work on all processors the
-    requests take longer than one window, and more may move in the next.
+    The limit is checked per window of the cap: on a busy machine the requests take
+    longer than one window, and more may move in the next.
     """
     url = f'{tiny.entries_by_name[ENTRY]}/v1/forward/case-desk/item'
     for name in LOST:
@@ -39,17 +39,17 @@
     refusals = []
     served_by_window: collections.Counter[int] = collections.Counter()
     sent_by_window: collections.Counter[int] = collections.Counter()
-    began = time.monotonic()
+    started_at = time.monotonic()
     with httpx.Client(timeout=10) as http:
         for _ in range(REQUESTS):
-            window = int((time.monotonic() - began) / CAP_WINDOW_S)
+            window = int((time.monotonic() - started_at) / CAP_WINDOW_S)
             answer = http.get(url)
             sent_by_window[window] += 1
             served_by_window[window] += answer.status_code == httpx.codes.OK
             outcomes[answer.headers['x-plantainloft-outcome']] += 1
             if answer.status_code == httpx.codes.SERVICE_UNAVAILABLE:
                 refusals.append(answer)
-            time.sleep(PAUSE_S)
+            time.sleep(REQUEST_INTERVAL_S)
     transcript = {
         'outcomes': sorted(outcomes),
         'some_served_elsewhere': outcomes['served'] > 0,
