--- a/bench/compare.py
+++ b/bench/compare.py
@@ -49,7 +49,7 @@
     body_intact: bool
 
 
-class Run:
+class PolicyRun:
     """One policy on one deployment."""
 
     def __init__(self, *, cluster: Cluster, deployment: Deployment) -> None:
@@ -188,7 +188,7 @@
     return largest
 
 
-def report(policy: str, run: Run) -> None:
+def report(policy: str, run: PolicyRun) -> None:
     """Print the results of one run."""
     outcomes = collections.Counter(one.outcome for one in run.sent)
     executions: dict[str, Any] = httpx.get(f'{run.draining_url()}/executions', timeout=5).json()
@@ -221,7 +221,7 @@
                 deployment, work_dir=Path(tempfile.mkdtemp()), entries_per_zone=2, policy=policy
             )
             try:
-                run = Run(cluster=cluster, deployment=deployment)
+                run = PolicyRun(cluster=cluster, deployment=deployment)
                 anyio.run(run.drive)
                 report(policy, run)
             finally:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -114,12 +114,12 @@
         f'nodes={nodes} commits={COMMIT_COUNT} in_force_everywhere_s '
         f'median={statistics.median(latencies_s):.2f} worst={max(latencies_s):.2f}'
     )
-    victim = next(iter(cluster.entries_by_name))
+    killed = next(iter(cluster.entries_by_name))
     started = time.time()
-    cluster.processes.signal(victim, signal.SIGKILL)
+    cluster.processes.signal(killed, signal.SIGKILL)
     time.sleep(6)
-    suspected = log_times(work_dir, f'Membership: {victim} is suspect.')
-    dead = log_times(work_dir, f'Membership: {victim} is dead.')
+    suspected = log_times(work_dir, f'Membership: {killed} is suspect.')
+    dead = log_times(work_dir, f'Membership: {killed} is dead.')
     noticed = suspected if len(suspected) >= len(dead) else dead
     print(
         f'nodes={nodes} killed: out of look-ups on {len(noticed)} of {nodes - 1} others, '
--- a/bench/starting.py
+++ b/bench/starting.py
@@ -1,7 +1,7 @@
 """CPU time and memory of an entry process from its start until it is ready.
 
-Run `sh deploy/build.sh` first. Starts the process as deployed, with a stand-in for
-the platform's store.
+Run `sh deploy/build.sh` first. Starts the process as the deployment template
+does, with a stand-in for the platform's store.
 
     PYTHONPATH=tests .venv/bin/python bench/starting.py
 """
--- a/packages/standins/src/plantainloft_standins/cluster.py
+++ b/packages/standins/src/plantainloft_standins/cluster.py
@@ -17,8 +17,8 @@
 from plantainloft_core.table_client import TableClient
 from plantainloft_standins.deployments import (
     Deployment,
-    endpoint_names,
     initial_patch,
+    planned_endpoints,
 )
 from plantainloft_standins.launch import Processes, free_port
 
@@ -110,7 +110,7 @@
 
 
 def _start_endpoints(cluster: Cluster, deployment: Deployment) -> None:
-    for name, plan in endpoint_names(deployment):
+    for name, plan in planned_endpoints(deployment):
         port = free_port()
         cluster.processes.spawn(
             name,
--- a/packages/standins/src/plantainloft_standins/crash_draws.py
+++ b/packages/standins/src/plantainloft_standins/crash_draws.py
@@ -19,7 +19,7 @@
 KILL_RATES_PER_S = (0.0, 0.5, 2.0)
 MAX_RESTARTS = 3
 RESTARTED_DIVISOR = 3
-DEAF_PROBABILITY = 0.3
+UNREACHABLE_PROBABILITY = 0.3
 
 
 def random_simulation(seed: int) -> CrashSimulation:
@@ -65,6 +65,6 @@
 
     for _ in range(rng.randint(0, MAX_RESTARTS)):
         simulation.model.after(rng.uniform(1, DURATION_S), restart)
-    if rng.random() < DEAF_PROBABILITY:
-        deaf = rng.choice(names)
-        simulation.model.passes = lambda sender, receiver: receiver.name != deaf
+    if rng.random() < UNREACHABLE_PROBABILITY:
+        unreachable = rng.choice(names)
+        simulation.model.passes = lambda sender, receiver: receiver.name != unreachable
--- a/packages/standins/src/plantainloft_standins/crash_model.py
+++ b/packages/standins/src/plantainloft_standins/crash_model.py
@@ -43,8 +43,7 @@
     ``background_per_s`` background requests arrive beside the fatal ones, over
     ``path_count`` different paths (0: every path is new). ``kills_per_s`` endpoints
     are killed independently of any request. ``retries_suspects``: whether a request
-    that was running on an endpoint when it crashed is retried once more when another
-    endpoint crashes under it.
+    with crashes on record when it arrives is retried if its endpoint crashes.
     """
 
     fatal: tuple[FatalRequest, ...] = ()
@@ -82,7 +81,7 @@
         """Record a fatal request sent to an endpoint that counts towards the limit."""
         self.arrivals_by_path.setdefault(path, []).append(now)
 
-    def note_crash(self, path: str, now: float) -> None:
+    def record_crash(self, path: str, now: float) -> None:
         """Record the crash of an endpoint by a fatal request."""
         self.crashes_by_path.setdefault(path, []).append(now)
 
@@ -117,7 +116,7 @@
         self.number = number
         self.start_count = 0
         self.is_up = True
-        self.running: list[_Run] = []
+        self.running: list[_Request] = []
 
     def start(self) -> None:
         self.start_count += 1
@@ -128,13 +127,18 @@
         return f'i{self.number}@{self.start_count}'
 
 
-class _Run:
+class _Request:
     """A request in progress at an entry instance."""
 
     def __init__(
-        self, *, request: RequestFingerprint, path: str, instance: ModelInstance, idempotent: bool
+        self,
+        *,
+        fingerprint: RequestFingerprint,
+        path: str,
+        instance: ModelInstance,
+        idempotent: bool,
     ) -> None:
-        self.request = request
+        self.fingerprint = fingerprint
         self.path = path
         self.instance = instance
         self.idempotent = idempotent
@@ -155,10 +159,10 @@
         self._model = model
         self._row_by_content: dict[bytes, _Row] = {}
 
-    def write(self, crashes: CrashBook, request: RequestFingerprint) -> None:
+    def write(self, crashes: CrashBook, fingerprint: RequestFingerprint) -> None:
         now = self._model.now
-        reports = crashes.reports_of(request.content, now)
-        self._row_by_content[request.content] = _Row(now, tuple(reports))
+        reports = crashes.reports_of(fingerprint.content, now)
+        self._row_by_content[fingerprint.content] = _Row(now, tuple(reports))
 
     def read(self, crashes: CrashBook) -> None:
         now = self._model.now
@@ -203,9 +207,9 @@
         return self.model.instance_by_name[name]
 
     def _send_fatal(self, fatal: FatalRequest) -> None:
-        run = self._new_run(fatal.path, idempotent=fatal.idempotent)
-        run.is_fatal = True
-        self._admit(run)
+        request = self._new_request(fatal.path, idempotent=fatal.idempotent)
+        request.is_fatal = True
+        self._admit(request)
         if not self._has_ended():
             self.model.after(1 / fatal.per_s, partial(self._send_fatal, fatal))
 
@@ -214,7 +218,7 @@
         path = (
             f'/object/{self._rng.randrange(path_count)}' if path_count else f'/new/{self.model.now}'
         )
-        self._admit(self._new_run(path, idempotent=self._rng.random() < IDEMPOTENT_FRACTION))
+        self._admit(self._new_request(path, idempotent=self._rng.random() < IDEMPOTENT_FRACTION))
         if not self._has_ended():
             self.model.after(
                 self._rng.expovariate(self._scenario.background_per_s), self._send_background
@@ -225,47 +229,52 @@
         if not self._has_ended():
             self.model.after(self._rng.expovariate(self._scenario.kills_per_s), self._kill)
 
-    def _new_run(self, path: str, *, idempotent: bool) -> _Run:
-        request = fingerprint_of(
+    def _new_request(self, path: str, *, idempotent: bool) -> _Request:
+        fingerprint = fingerprint_of(
             method=b'GET', host=b'desk', target=path.encode(), body=b'', address='10.0.0.1'
         )
-        return _Run(
-            request=request, path=path, instance=self._random_instance(), idempotent=idempotent
+        return _Request(
+            fingerprint=fingerprint,
+            path=path,
+            instance=self._random_instance(),
+            idempotent=idempotent,
         )
 
-    def _admit(self, run: _Run) -> None:
-        standing = run.instance.crashes.standing(run.request, self.model.now)
-        run.is_suspect = standing.crashes > 0
+    def _admit(self, request: _Request) -> None:
+        standing = request.instance.crashes.standing(request.fingerprint, self.model.now)
+        request.is_suspect = standing.crashes > 0
         if standing.is_quarantined:
-            self._finish(run, 'shut_out')
+            self._finish(request, 'shut_out')
         else:
-            self._send(run)
+            self._send(request)
 
-    def _send(self, run: _Run) -> None:
+    def _send(self, request: _Request) -> None:
         candidates = self._rng.sample(self._endpoints, MAX_UNSENT)
         available = [
             one for one in candidates if one.is_up and len(one.running) < 2 * self._scenario.slots
         ]
         if not available:
-            self._finish(run, 'failed')
+            self._finish(request, 'failed')
             return
         endpoint = available[0]
-        run.attempts += 1
-        endpoint.running.append(run)
-        if run.is_fatal:
-            started = self._restarted_at_by_name.get(run.instance.members.me.name, -PROPAGATION_S)
+        request.attempts += 1
+        endpoint.running.append(request)
+        if request.is_fatal:
+            started = self._restarted_at_by_name.get(
+                request.instance.members.me.name, -PROPAGATION_S
+            )
             if self.model.now - started >= PROPAGATION_S:
-                self.results.record_arrival(run.path, self.model.now)
-            callback = partial(self._crash, endpoint, endpoint.start_count, run)
+                self.results.record_arrival(request.path, self.model.now)
+            callback = partial(self._crash, endpoint, endpoint.start_count, request)
             self.model.after(CRASH_DELAY_S, callback)
         else:
             self.model.after(
-                SERVICE_TIME_S, partial(self._complete, endpoint, endpoint.start_count, run)
+                SERVICE_TIME_S, partial(self._complete, endpoint, endpoint.start_count, request)
             )
 
-    def _crash(self, endpoint: _Endpoint, start: int, run: _Run) -> None:
+    def _crash(self, endpoint: _Endpoint, start: int, request: _Request) -> None:
         if endpoint.start_count == start and endpoint.is_up:
-            self.results.note_crash(run.path, self.model.now)
+            self.results.record_crash(request.path, self.model.now)
             self._stop(endpoint)
 
     def _stop(self, endpoint: _Endpoint) -> None:
@@ -274,40 +283,42 @@
         endpoint.is_up = False
         interrupted = endpoint.running
         endpoint.running = []
-        for run in interrupted:
-            confirm = partial(self._confirm_crash, run, endpoint.incarnation)
+        for request in interrupted:
+            confirm = partial(self._confirm_crash, request, endpoint.incarnation)
             self.model.after(CONFIRMATION_DELAY_S, confirm)
-            self._retry(run)
+            self._retry(request)
         self.model.after(self._scenario.restart_delay_s, endpoint.start)
 
-    def _confirm_crash(self, run: _Run, incarnation: str) -> None:
-        if run.instance.runs:
-            crashes = run.instance.crashes
-            standing = crashes.note_crash(run.request, incarnation, self.model.now)
+    def _confirm_crash(self, request: _Request, incarnation: str) -> None:
+        if request.instance.runs:
+            crashes = request.instance.crashes
+            standing = crashes.note_crash(request.fingerprint, incarnation, self.model.now)
             if crashes.is_urgent(standing.weight, self.model.now):
-                self.model.schedule_urgent_round(run.instance)
+                self.model.schedule_urgent_round(request.instance)
             if standing.is_quarantined:
-                self.model.after(STORE_LATENCY_S, partial(self._store.write, crashes, run.request))
-            elif not run.instance.members.up(self.model.now):
+                self.model.after(
+                    STORE_LATENCY_S, partial(self._store.write, crashes, request.fingerprint)
+                )
+            elif not request.instance.members.up(self.model.now):
                 self.model.after(STORE_LATENCY_S, partial(self._store.read, crashes))
 
-    def _retry(self, run: _Run) -> None:
-        may_retry = self._scenario.retries_suspects or not run.is_suspect
-        standing = run.instance.crashes.standing(run.request, self.model.now)
-        may_retry = may_retry and run.idempotent and not standing.is_quarantined
-        if may_retry and run.attempts < MAX_ATTEMPTS:
-            self._send(run)
+    def _retry(self, request: _Request) -> None:
+        may_retry = self._scenario.retries_suspects or not request.is_suspect
+        standing = request.instance.crashes.standing(request.fingerprint, self.model.now)
+        may_retry = may_retry and request.idempotent and not standing.is_quarantined
+        if may_retry and request.attempts < MAX_ATTEMPTS:
+            self._send(request)
         else:
-            self._finish(run, 'failed')
+            self._finish(request, 'failed')
 
-    def _complete(self, endpoint: _Endpoint, start: int, run: _Run) -> None:
-        if endpoint.start_count != start or run not in endpoint.running:
+    def _complete(self, endpoint: _Endpoint, start: int, request: _Request) -> None:
+        if endpoint.start_count != start or request not in endpoint.running:
             return
-        endpoint.running.remove(run)
-        if run.instance.crashes.note_answered(run.request, self.model.now):
-            self.model.schedule_urgent_round(run.instance)
-        self._finish(run, 'answered')
-
-    def _finish(self, run: _Run, kind: str) -> None:
-        if not run.is_fatal:
-            self.results.outcomes.append(Outcome(kind, run.path, self.model.now))
+        endpoint.running.remove(request)
+        if request.instance.crashes.note_answered(request.fingerprint, self.model.now):
+            self.model.schedule_urgent_round(request.instance)
+        self._finish(request, 'answered')
+
+    def _finish(self, request: _Request, kind: str) -> None:
+        if not request.is_fatal:
+            self.results.outcomes.append(Outcome(kind, request.path, self.model.now))
--- a/packages/standins/src/plantainloft_standins/deployments.py
+++ b/packages/standins/src/plantainloft_standins/deployments.py
@@ -141,7 +141,7 @@
     return [{'op': 'add', 'path': f'/{key}', 'value': value} for key, value in document.items()]
 
 
-def endpoint_names(deployment: Deployment) -> list[tuple[str, ServicePlan]]:
+def planned_endpoints(deployment: Deployment) -> list[tuple[str, ServicePlan]]:
     """Return the name of every endpoint with the plan of its service."""
     return [
         (f'{plan.name}-{zone}-{index}', plan)
--- a/packages/standins/src/plantainloft_standins/fleet_model.py
+++ b/packages/standins/src/plantainloft_standins/fleet_model.py
@@ -121,7 +121,7 @@
         limit_terms: LimitTerms = DEFAULT_TERMS,
         share_rule: Callable[[], ShareRule] = SharesByDemand,
     ) -> None:
-        """``listed``: whether an instance knows the instances started before it."""
+        """``listed``: whether an instance reads the list of instances when it starts."""
         self._limit_terms = limit_terms
         self._share_rule = share_rule
         self.now = 0.0
--- a/tests/test_crash_model.py
+++ b/tests/test_crash_model.py
@@ -22,11 +22,11 @@
 def make_simulation() -> Callable[..., CrashSimulation]:
     """Return a function that sets up a simulation on a fleet that has settled."""
 
-    def make(shape: FleetShape, **terms: object) -> CrashSimulation:
+    def make(shape: FleetShape, **overrides: object) -> CrashSimulation:
         model = FleetModel(shape=shape)
         model.start_all()
         model.run_for(SETTLE_TIME_S)
-        scenario = CrashScenario(seed=shape.seed, **terms)  # type: ignore[arg-type]
+        scenario = CrashScenario(seed=shape.seed, **overrides)  # type: ignore[arg-type]
         return CrashSimulation(model=model, scenario=scenario)
 
     return make
@@ -82,8 +82,8 @@
     make_simulation: SimulationFactory, seed: int
 ) -> None:
     simulation = make_simulation(SMALL._replace(seed=seed), fatal=(FATAL,), duration_s=25.0)
-    deaf = sorted(simulation.model.instance_by_name)[0]
-    simulation.model.passes = lambda sender, receiver: receiver.name != deaf
+    unreachable = sorted(simulation.model.instance_by_name)[0]
+    simulation.model.passes = lambda sender, receiver: receiver.name != unreachable
     simulation.run()
     assert simulation.results.arrivals_after_propagation('/fatal') <= MAX_LATE_REQUESTS
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -19,14 +19,14 @@
 WAIT_TIMEOUT_S = 15.0
 POLL_INTERVAL_S = 0.1
 BLOCK = 'block-ankara-a'
-VICTIM = 'entry-ankara-a-0'
-WITNESS = 'entry-izmir-a-0'
+TARGET = 'entry-ankara-a-0'
+OBSERVER = 'entry-izmir-a-0'
 
 
 def _looked_up_names(cluster: Cluster) -> list[str]:
     names = {url: name for name, url in cluster.entries_by_name.items()}
-    witness = cluster.entries_by_name[WITNESS]
-    answer = httpx.get(f'{witness}/v1/lookup', params={'client_block': BLOCK}).json()
+    observer = cluster.entries_by_name[OBSERVER]
+    answer = httpx.get(f'{observer}/v1/lookup', params={'client_block': BLOCK}).json()
     return [names[url] for url in answer['entry_instances']]
 
 
@@ -78,8 +78,8 @@
     out.
     """
     before = _looked_up_names(tiny)
-    tiny.processes.signal(VICTIM, signal.SIGKILL)
-    after = _wait_until_absent(tiny, VICTIM)
+    tiny.processes.signal(TARGET, signal.SIGKILL)
+    after = _wait_until_absent(tiny, TARGET)
     assert {'before': before, 'after': after} == snapshot
 
 
@@ -92,7 +92,7 @@
     SIGTERM. Guards against stopping without waiting for requests in flight, and
     without leaving look-ups first.
     """
-    entry = tiny.entries_by_name[VICTIM]
+    entry = tiny.entries_by_name[TARGET]
     results: list[str] = []
 
     async def send_load() -> None:
@@ -107,11 +107,11 @@
                 for _ in range(8):
                     tasks.start_soon(send_one)
                 await anyio.sleep(0.1)
-                tiny.processes.signal(VICTIM, signal.SIGTERM)
+                tiny.processes.signal(TARGET, signal.SIGTERM)
 
     anyio.run(send_load)
-    exit_status = tiny.processes.stop(VICTIM)
-    named_after_stop = VICTIM in _looked_up_names(tiny)
+    exit_status = tiny.processes.stop(TARGET)
+    named_after_stop = TARGET in _looked_up_names(tiny)
     transcript = {
         'results': sorted(results),
         'exit': exit_status,
@@ -136,7 +136,7 @@
     applied_after_s = time.monotonic() - started
     runs_url = f'{tiny.endpoints_by_name[drained]}/executions'
     runs_before = sum(httpx.get(runs_url).json()['runs_by_key'].values())
-    calls = [_call(tiny.entries_by_name[VICTIM], 'GET') for _ in range(6)]
+    calls = [_call(tiny.entries_by_name[TARGET], 'GET') for _ in range(6)]
     runs_after = sum(httpx.get(runs_url).json()['runs_by_key'].values())
     assert applied_after_s < WAIT_TIMEOUT_S
     transcript = {
@@ -158,7 +158,7 @@
     load report and in refusals.
     """
     leaving = tiny.endpoints_by_name['case-desk-ankara-a-0']
-    entry = tiny.entries_by_name[VICTIM]
+    entry = tiny.entries_by_name[TARGET]
     before = _call(entry, 'GET')
     httpx.post(f'{leaving}/drain')
     after = [_call(entry, 'GET') for _ in range(6)]
@@ -182,7 +182,7 @@
     against treating the outage as an empty configuration, and against reporting a
     booking as failed when it may have run.
     """
-    entry = tiny.entries_by_name[VICTIM]
+    entry = tiny.entries_by_name[TARGET]
     _set_fault_mode(tiny, 'down')
     during = {
         'read': _call(entry, 'GET'),
@@ -214,8 +214,8 @@
     for url in tiny.entries_by_name.values():
         wait_for_version(url, 2)
     _set_fault_mode(tiny, 'down')
-    restarted = tiny.entries_by_name[VICTIM]
-    tiny.processes.restart(VICTIM, ready_url=f'{restarted}/v1/status')
+    restarted = tiny.entries_by_name[TARGET]
+    tiny.processes.restart(TARGET, ready_url=f'{restarted}/v1/status')
     wait_for_version(restarted, 2)
     killed = 'entry-ankara-b-0'
     tiny.processes.signal(killed, signal.SIGKILL)
@@ -237,11 +237,11 @@
     then continued. Guards against missing heartbeats, and against a dead state that
     the instance can't refute.
     """
-    tiny.processes.signal(VICTIM, signal.SIGSTOP)
-    while_frozen = _wait_until_absent(tiny, VICTIM)
-    tiny.processes.signal(VICTIM, signal.SIGCONT)
-    wait_for_members(tiny.entries_by_name[WITNESS], set(tiny.entries_by_name))
-    wait_for_members(tiny.entries_by_name[VICTIM], set(tiny.entries_by_name))
+    tiny.processes.signal(TARGET, signal.SIGSTOP)
+    while_frozen = _wait_until_absent(tiny, TARGET)
+    tiny.processes.signal(TARGET, signal.SIGCONT)
+    wait_for_members(tiny.entries_by_name[OBSERVER], set(tiny.entries_by_name))
+    wait_for_members(tiny.entries_by_name[TARGET], set(tiny.entries_by_name))
     assert {'frozen': while_frozen, 'woken': _looked_up_names(tiny)} == snapshot
 
 
@@ -255,8 +255,8 @@
     claim whose answer was lost for failed or for another node's.
     """
     _set_fault_mode(tiny, 'lose_answer')
-    first = _call(tiny.entries_by_name[VICTIM], 'POST', key='booking-7')
-    retry = _call(tiny.entries_by_name[WITNESS], 'POST', key='booking-7')
+    first = _call(tiny.entries_by_name[TARGET], 'POST', key='booking-7')
+    retry = _call(tiny.entries_by_name[OBSERVER], 'POST', key='booking-7')
     _set_fault_mode(tiny, 'normal')
     runs = 0
     for url in tiny.endpoints_by_name.values():
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -12,9 +12,9 @@
 )
 
 
-def scenario(**terms: object) -> Scenario:
+def scenario(**overrides: object) -> Scenario:
     """A third of the callers are in a region with 1/14 of the slots."""
-    return nearby_regions_scenario()._replace(**terms)  # type: ignore[arg-type]
+    return nearby_regions_scenario()._replace(**overrides)  # type: ignore[arg-type]
 
 
 def objective_fractions(model: LoadModel) -> dict[str, float]:
