--- a/bench/compare.py
+++ b/bench/compare.py
@@ -25,7 +25,7 @@
 import httpx
 from hdrh.histogram import HdrHistogram
 
-from plantainloft_standins.cluster import Cluster, bring_up
+from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import FULL_DEPLOYMENTS, Deployment
 
 DURATION_S = 30
@@ -217,7 +217,7 @@
     for name in sys.argv[1:] or list(FULL_DEPLOYMENTS):
         for policy in ('headroom', 'nearest'):
             deployment = FULL_DEPLOYMENTS[name]
-            cluster = bring_up(
+            cluster = start_cluster(
                 deployment, work_dir=Path(tempfile.mkdtemp()), entries_per_zone=2, policy=policy
             )
             try:
--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -17,7 +17,7 @@
 import anyio
 import httpx
 
-from plantainloft_standins.cluster import Cluster, bring_up
+from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import Deployment, ServicePlan
 
 DEFAULT_DURATION_S = 30.0
@@ -84,7 +84,7 @@
                     self._down_since[name] = now
                     self.crashes.append(now)
                 elif now - self._down_since[name] >= RESTART_DELAY_S:
-                    processes.spawn_again(name)
+                    processes.respawn(name)
             await anyio.sleep(0.02)
 
 
@@ -107,7 +107,7 @@
 def main() -> None:
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_DURATION_S
     with tempfile.TemporaryDirectory() as work_dir:
-        cluster = bring_up(DEPLOYMENT, work_dir=Path(work_dir))
+        cluster = start_cluster(DEPLOYMENT, work_dir=Path(work_dir))
         try:
             load = anyio.run(run_load, cluster, seconds)
         finally:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -24,7 +24,7 @@
 from plantainloft_core.committing import commit_patch
 from plantainloft_core.outcomes import Committed
 from plantainloft_core.table_client import TableClient
-from plantainloft_standins.cluster import Cluster, bring_up
+from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import Deployment
 
 SETTLE_TIME_S = 8.0
@@ -68,18 +68,26 @@
     )
 
 
-def commit(cluster: Cluster, against: int) -> None:
+def commit(cluster: Cluster, base_version: int) -> None:
     """Commit one more client block."""
 
     async def commit_block() -> None:
         client = TableClient(base_url=cluster.table_url, timeout_s=5)
-        block = {'op': 'add', 'path': f'/client_blocks/c{against}', 'value': {'zone': 'izmir-a'}}
+        block = {
+            'op': 'add',
+            'path': f'/client_blocks/c{base_version}',
+            'value': {'zone': 'izmir-a'},
+        }
         outcome = await commit_patch(
-            client, against=against, patch=[block], author='bench', change_id=f'c{against}'
+            client,
+            base_version=base_version,
+            patch=[block],
+            author='bench',
+            change_id=f'c{base_version}',
         )
         await client.close()
         if not isinstance(outcome, Committed):
-            raise SystemExit(f'commit against version {against} failed: {outcome}')
+            raise SystemExit(f'commit against version {base_version} failed: {outcome}')
 
     anyio.run(commit_block)
 
@@ -102,13 +110,13 @@
     """Print how long commits and a killed instance take to reach every node."""
     nodes = len(cluster.entries_by_name)
     latencies_s = []
-    for against in range(1, COMMIT_COUNT + 1):
+    for base_version in range(1, COMMIT_COUNT + 1):
         started = time.time()
-        commit(cluster, against)
+        commit(cluster, base_version)
         time.sleep(4)
-        times = log_times(work_dir, f'Config: version {against + 1} in force.')
+        times = log_times(work_dir, f'Config: version {base_version + 1} in force.')
         if len(times) != nodes:
-            print(f'version {against + 1} in force on {len(times)} of {nodes} nodes only')
+            print(f'version {base_version + 1} in force on {len(times)} of {nodes} nodes only')
         latencies_s.append(max(times) - started)
     print(
         f'nodes={nodes} commits={COMMIT_COUNT} in_force_everywhere_s '
@@ -131,7 +139,7 @@
     """Measure each fleet size in turn."""
     for nodes in [int(word) for word in sys.argv[1:]] or [12, 48, 96]:
         work_dir = Path(tempfile.mkdtemp())
-        cluster = bring_up(FLEET, work_dir=work_dir, entries_per_zone=nodes // 4)
+        cluster = start_cluster(FLEET, work_dir=work_dir, entries_per_zone=nodes // 4)
         try:
             time.sleep(SETTLE_TIME_S)
             idle_cost(cluster)
--- a/bench/forwarding.py
+++ b/bench/forwarding.py
@@ -14,7 +14,7 @@
 from hdrh.histogram import HdrHistogram
 from processes import cpu_seconds
 
-from plantainloft_standins.cluster import bring_up
+from plantainloft_standins.cluster import start_cluster
 from plantainloft_standins.deployments import DEPLOYMENTS
 
 LOOKUPS = 3000
@@ -42,7 +42,7 @@
 
 def main() -> None:
     """Start the deployment, measure, and stop it."""
-    cluster = bring_up(DEPLOYMENTS['karaduman'], work_dir=Path(tempfile.mkdtemp()))
+    cluster = start_cluster(DEPLOYMENTS['karaduman'], work_dir=Path(tempfile.mkdtemp()))
     try:
         entry = cluster.entries_by_name['entry-istanbul-a-0']
         pid = cluster.processes.by_name['entry-istanbul-a-0'].pid
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -9,7 +9,7 @@
 import sys
 import timeit
 
-from plantainloft_core.organisations import Organisation, RequestLimit
+from plantainloft_core.organisations import Organisation, RateLimit
 from plantainloft_node.limits.limiter import LimitTerms, RequestLimiter
 from plantainloft_node.limits.shares import FleetSize
 from plantainloft_node.limits.uses import pack_uses, unpack_uses
@@ -25,7 +25,7 @@
     count = int(sys.argv[1]) if len(sys.argv) > 1 else ORGANISATIONS
     limiter = RequestLimiter(me='e1', terms=LimitTerms(window_s=5.0, over=0.1, slack=20.0))
     organisations = [
-        Organisation(f'o{number}', frozenset(), limit=RequestLimit(20.0, 20.0))
+        Organisation(f'o{number}', frozenset(), limit=RateLimit(20.0, 20.0))
         for number in range(count)
     ]
     for turn in range(12):
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -70,11 +70,11 @@
     """Print the cost of look-ups as the number of members grows."""
     config = configuration(regions=3, endpoints=12, blocks=100)
     for members in (12, 48, 192):
-        roster = [
+        all_members = [
             Member(name=f'n{i}', zone=f'r{i % 3}-z0', address=f'a{i}', leaving=False)
             for i in range(members)
         ]
-        build = functools.partial(LookupIndex, config=config, members=roster)
+        build = functools.partial(LookupIndex, config=config, members=all_members)
         print(f'lookup_index_build_us members={members} {per_call_us(build):.1f}')
         index = build()
         uncached = functools.partial(_uncached_lookup, index)
@@ -88,7 +88,9 @@
     policy = HeadroomPolicy(rng=random.Random(1))
     for endpoints in (12, 48, 192):
         config = configuration(regions=3, endpoints=endpoints, blocks=10)
-        load = EndpointLoad(local_inflight=0, reported_inflight=1, report_age_s=0.1, known_for_s=60)
+        load = EndpointLoad(
+            local_inflight=0, reported_inflight=1, report_age_s=0.1, in_service_s=60
+        )
         loads = {f'e{i}': load for i in range(endpoints)}
         operation = functools.partial(
             policy.choose,
--- a/packages/core/src/plantainloft_core/allowances.py
+++ b/packages/core/src/plantainloft_core/allowances.py
@@ -24,7 +24,7 @@
 
 from plantainloft_core.model import Configuration
 
-__all__ = ['ClaimBook', 'guaranteed_capacity']
+__all__ = ['CapacityClaims', 'guaranteed_capacity']
 
 GUARANTEED_FRACTION = 0.5
 HOME_REGION_FRACTION = 0.8
@@ -35,7 +35,7 @@
 DEMAND_MARGIN_SLOTS = 2.0
 
 
-def _node_share(config: Configuration, region: str, *, home: str) -> float:
+def _node_share(config: Configuration, region: str, *, home_region: str) -> float:
     """Return one node's share (0..1) of ``region``.
 
     The shares of all planned nodes add up to 1.
@@ -52,82 +52,84 @@
         return 1.0 / remote_nodes
     return (
         HOME_REGION_FRACTION / local_nodes
-        if region == home
+        if region == home_region
         else (1.0 - HOME_REGION_FRACTION) / remote_nodes
     )
 
 
-def guaranteed_capacity(config: Configuration, region: str, *, home: str) -> float:
-    """Return how many requests a node of region ``home`` may always run in ``region``."""
+def guaranteed_capacity(config: Configuration, region: str, *, home_region: str) -> float:
+    """Return how many requests a node of region ``home_region`` may always run in ``region``."""
     capacity = config.regions_by_name[region].capacity
-    return capacity * GUARANTEED_FRACTION * _node_share(config, region, home=home)
+    return capacity * GUARANTEED_FRACTION * _node_share(config, region, home_region=home_region)
 
 
-class ClaimBook:
+class CapacityClaims:
     """One node's claims above its guaranteed capacity, and its peers' claims.
 
-    ``extra_by_region`` holds this node's claims. ``revision`` is incremented
+    ``claimed_by_region`` holds this node's claims. ``revision`` is incremented
     each time one of them grows. Times are in seconds of the caller's
     monotonic clock.
     """
 
-    def __init__(self, *, home: str) -> None:
-        self.extra_by_region: dict[str, float] = {}
+    def __init__(self, *, home_region: str) -> None:
+        self.claimed_by_region: dict[str, float] = {}
         self.revision = 0
-        self._home = home
+        self._home_region = home_region
         self._claims_by_peer: dict[str, Mapping[str, float]] = {}
         self._last_heard_by_peer: dict[str, float] = {}
         self._confirmed_revision_by_peer: dict[str, int] = {}
 
-    def hear(self, peer: str, extra_by_region: Mapping[str, float], now: float) -> None:
+    def record_peer_claims(
+        self, peer: str, claimed_by_region: Mapping[str, float], now: float
+    ) -> None:
         """Record the claims that ``peer`` itself has sent."""
-        self._claims_by_peer[peer] = extra_by_region
+        self._claims_by_peer[peer] = claimed_by_region
         self._last_heard_by_peer[peer] = now
 
-    def confirm(self, peer: str, revision: int) -> None:
+    def record_confirmation(self, peer: str, revision: int) -> None:
         """Record that ``peer`` answered a heartbeat that carried ``revision``."""
         self._confirmed_revision_by_peer[peer] = revision
 
-    def allowed(self, config: Configuration, region: str, now: float) -> float:
+    def max_inflight(self, config: Configuration, region: str, now: float) -> float:
         """Return how many requests this node may have in flight in ``region``."""
-        guaranteed = guaranteed_capacity(config, region, home=self._home)
+        guaranteed = guaranteed_capacity(config, region, home_region=self._home_region)
         # The quorum is checked on every use, not only when the claim is made: a
         # node that was paused for longer than CLAIM_LEASE_S resumes here, and its
         # peers may have taken over its claim meanwhile.
         if not self._has_quorum(config, now):
             return guaranteed
-        return guaranteed + self.extra_by_region.get(region, 0.0)
+        return guaranteed + self.claimed_by_region.get(region, 0.0)
 
-    def adjust(
+    def update_claims(
         self,
         config: Configuration,
         *,
-        needed_by_region: Mapping[str, float],
+        demand_by_region: Mapping[str, float],
         live_peers: Iterable[str],
         now: float,
     ) -> None:
         """Adjust the claims to demand: lower them at once, raise them when safe."""
         if not self._has_quorum(config, now):
-            self.extra_by_region = {}
+            self.claimed_by_region = {}
             return
         may_grow = self._all_peers_confirmed(live_peers)
         grown = False
         for region in config.regions_by_name:
-            guaranteed = guaranteed_capacity(config, region, home=self._home)
-            needed = needed_by_region.get(region, 0.0) * DEMAND_MARGIN_FACTOR + DEMAND_MARGIN_SLOTS
+            guaranteed = guaranteed_capacity(config, region, home_region=self._home_region)
+            needed = demand_by_region.get(region, 0.0) * DEMAND_MARGIN_FACTOR + DEMAND_MARGIN_SLOTS
             wanted = max(0.0, needed - guaranteed)
-            held = self.extra_by_region.get(region, 0.0)
+            held = self.claimed_by_region.get(region, 0.0)
             if wanted > held and may_grow:
-                node_share = _node_share(config, region, home=self._home)
+                node_share = _node_share(config, region, home_region=self._home_region)
                 step = (
                     self._unclaimed_capacity(config, region, now)
                     * CLAIM_GROWTH_FRACTION
                     * node_share
                 )
                 grown = grown or step > 0
-                self.extra_by_region[region] = min(wanted, held + step)
+                self.claimed_by_region[region] = min(wanted, held + step)
             else:
-                self.extra_by_region[region] = min(wanted, held)
+                self.claimed_by_region[region] = min(wanted, held)
         if grown:
             self.revision += 1
 
@@ -144,8 +146,8 @@
 
     def _unclaimed_capacity(self, config: Configuration, region: str, now: float) -> float:
         shared = config.regions_by_name[region].capacity * (1.0 - GUARANTEED_FRACTION)
-        claimed = self.extra_by_region.get(region, 0.0)
-        for peer, extra_by_region in self._claims_by_peer.items():
+        claimed = self.claimed_by_region.get(region, 0.0)
+        for peer, claimed_by_region in self._claims_by_peer.items():
             if now - self._last_heard_by_peer[peer] <= CLAIM_LEASE_S:
-                claimed += extra_by_region.get(region, 0.0)
+                claimed += claimed_by_region.get(region, 0.0)
         return max(0.0, shared - claimed)
--- a/packages/core/src/plantainloft_core/committing.py
+++ b/packages/core/src/plantainloft_core/committing.py
@@ -12,15 +12,15 @@
 
 import msgpack
 
-from plantainloft_core.model import EMPTY, Configuration
+from plantainloft_core.model import EMPTY_CONFIGURATION, Configuration
 from plantainloft_core.outcomes import Committed, Conflict, Invalid, Unreachable
 from plantainloft_core.patching import apply_patch
 from plantainloft_core.shift_check import check_shift
 from plantainloft_core.shifting import SHIFT_WINDOW_S
-from plantainloft_core.table_client import LostAnswer, TableClient, TxnConflict
+from plantainloft_core.table_client import LostResponse, TableClient, TxnConflict
 from plantainloft_core.versions import (
     HEAD_KEY,
-    SNAPSHOT_EVERY,
+    VERSIONS_PER_SNAPSHOT,
     Change,
     Snapshot,
     read_change,
@@ -40,12 +40,12 @@
 async def commit_patch(
     client: TableClient,
     *,
-    against: int,
+    base_version: int,
     patch: list[dict[str, Any]],
     author: str,
     change_id: str,
 ) -> Committed | Conflict | Invalid | Unreachable:
-    """Commit ``patch`` against version ``against`` as version against+1.
+    """Commit ``patch`` against version ``base_version`` as the version after it.
 
     Returns ``Invalid`` if the patch would move more of a service's traffic
     between regions at once than the service's shift cap allows. ``change_id``
@@ -56,30 +56,30 @@
     head = await read_head(client)
     if isinstance(head, Unreachable):
         return head
-    if head != against:
+    if head != base_version:
         return Conflict(current_version=head)
     document: dict[str, Any] = {}
-    current = EMPTY
-    if against:
-        stored = await read_version(client, against)
+    current = EMPTY_CONFIGURATION
+    if base_version:
+        stored = await read_version(client, base_version)
         if isinstance(stored, Unreachable | Invalid):
             return stored
         document, current = stored.document, stored.config
-    patched = apply_patch(document, patch, version=against + 1)
+    patched = apply_patch(document, patch, version=base_version + 1)
     if isinstance(patched, Invalid):
         return patched
     rejection = await _check_shift_cap(client, current=current, new=patched[1])
     if rejection is not None:
         return rejection
     change = Change(
-        number=against + 1,
+        number=base_version + 1,
         patch=patch,
         author=author,
         change_id=change_id,
         committed_at=time.time(),
     )
     outcome = await _commit_change(client, change)
-    if isinstance(outcome, Committed) and outcome.version % SNAPSHOT_EVERY == 0:
+    if isinstance(outcome, Committed) and outcome.version % VERSIONS_PER_SNAPSHOT == 0:
         await _store_snapshot(client, Snapshot(number=outcome.version, document=patched[0]))
     return outcome
 
@@ -121,16 +121,18 @@
 
 
 async def _commit_change(client: TableClient, change: Change) -> Committed | Conflict | Unreachable:
-    against = change.number - 1
+    base_version = change.number - 1
     stored = {name: part for name, part in change._asdict().items() if name != 'number'}
-    outcome = await client.txn(
-        conditions={HEAD_KEY: against},
+    outcome = await client.commit_transaction(
+        conditions={HEAD_KEY: base_version},
         writes={HEAD_KEY: {'change_id': change.change_id}, version_key(change.number): stored},
     )
     if isinstance(outcome, TxnConflict):
         return Conflict(current_version=outcome.versions_by_key[HEAD_KEY])
-    if isinstance(outcome, LostAnswer):
-        return await _resolve_lost_answer(client, against=against, change_id=change.change_id)
+    if isinstance(outcome, LostResponse):
+        return await _resolve_lost_response(
+            client, base_version=base_version, change_id=change.change_id
+        )
     if isinstance(outcome, Unreachable):
         return outcome
     return Committed(version=change.number)
@@ -144,16 +146,16 @@
         log.warning('Versions: cannot store snapshot %s: %s.', snapshot.number, stored.reason)
 
 
-async def _resolve_lost_answer(
+async def _resolve_lost_response(
     client: TableClient,
     *,
-    against: int,
+    base_version: int,
     change_id: str,
 ) -> Committed | Conflict | Unreachable:
     # The write may have been applied. Read back the row that it creates: our
     # change ID means that it was committed, another ID that a concurrent change
     # won, and no row that it is not committed yet.
-    row = await client.get(version_key(against + 1))
+    row = await client.get(version_key(base_version + 1))
     if isinstance(row, Unreachable):
         return Unreachable(reason='response to the commit was lost; its outcome is unknown')
     if row is None:
@@ -161,5 +163,5 @@
             reason='response to the commit was lost; it is not applied yet, but still may be'
         )
     if row.value['change_id'] == change_id:
-        return Committed(version=against + 1)
-    return Conflict(current_version=against + 1)
+        return Committed(version=base_version + 1)
+    return Conflict(current_version=base_version + 1)
--- a/packages/core/src/plantainloft_core/lookup.py
+++ b/packages/core/src/plantainloft_core/lookup.py
@@ -75,7 +75,7 @@
         return selected
 
     def _ranked_addresses(self, client_block: str) -> tuple[str, ...]:
-        block = self.config.blocks_by_name.get(client_block)
+        block = self.config.client_blocks_by_name.get(client_block)
         zone = block.zone if block else ''
         region = self.config.region_of_zone(zone) or ''
         tiers = (
--- a/packages/core/src/plantainloft_core/model.py
+++ b/packages/core/src/plantainloft_core/model.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from plantainloft_core.organisation_schema import parse_organisations
-from plantainloft_core.organisations import NO_ORGANISATIONS, OrganisationBook
+from plantainloft_core.organisations import NO_ORGANISATIONS, OrganisationIndex
 from plantainloft_core.outcomes import Invalid
 from plantainloft_core.schema_problems import SchemaProblems, section_of
 
@@ -95,10 +95,10 @@
     regions_by_name: Mapping[str, Region]
     services_by_name: Mapping[str, Service]
     endpoints_by_name: Mapping[str, Endpoint]
-    blocks_by_name: Mapping[str, ClientBlock]
+    client_blocks_by_name: Mapping[str, ClientBlock]
     endpoints_by_service: Mapping[str, tuple[Endpoint, ...]]
     region_by_zone: Mapping[str, str]
-    organisations: OrganisationBook = NO_ORGANISATIONS
+    organisations: OrganisationIndex = NO_ORGANISATIONS
 
     def region_of_zone(self, zone: str) -> str | None:
         """Return the region of availability zone ``zone``, if there is one."""
@@ -111,8 +111,8 @@
     regions_by_name: Mapping[str, Region],
     services_by_name: Mapping[str, Service],
     endpoints_by_name: Mapping[str, Endpoint],
-    blocks_by_name: Mapping[str, ClientBlock],
-    organisations: OrganisationBook = NO_ORGANISATIONS,
+    client_blocks_by_name: Mapping[str, ClientBlock],
+    organisations: OrganisationIndex = NO_ORGANISATIONS,
 ) -> Configuration:
     """Return a ``Configuration`` with its indexes."""
     by_service: dict[str, list[Endpoint]] = {}
@@ -123,7 +123,7 @@
         regions_by_name=regions_by_name,
         services_by_name=services_by_name,
         endpoints_by_name=endpoints_by_name,
-        blocks_by_name=blocks_by_name,
+        client_blocks_by_name=client_blocks_by_name,
         endpoints_by_service={name: tuple(eps) for name, eps in by_service.items()},
         region_by_zone={
             zone: region.name for region in regions_by_name.values() for zone in region.zones
@@ -132,12 +132,12 @@
     )
 
 
-EMPTY = build_configuration(
+EMPTY_CONFIGURATION = build_configuration(
     version=0,
     regions_by_name={},
     services_by_name={},
     endpoints_by_name={},
-    blocks_by_name={},
+    client_blocks_by_name={},
 )
 
 
@@ -249,7 +249,7 @@
     """
     problems = SchemaProblems()
     endpoints = dict(config.endpoints_by_name)
-    blocks = config.blocks_by_name
+    blocks = config.client_blocks_by_name
     if any(section == 'client_blocks' for section, _ in changed):
         blocks = dict(blocks)
     by_section: dict[str, Any] = {'endpoints': endpoints, 'client_blocks': blocks}
@@ -280,7 +280,7 @@
         regions_by_name=config.regions_by_name,
         services_by_name=config.services_by_name,
         endpoints_by_name=endpoints,
-        blocks_by_name=blocks,
+        client_blocks_by_name=blocks,
         organisations=config.organisations,
     )
 
@@ -315,6 +315,6 @@
         regions_by_name=regions,
         services_by_name=services,
         endpoints_by_name=endpoints,
-        blocks_by_name=blocks,
+        client_blocks_by_name=blocks,
         organisations=organisations,
     )
--- a/packages/core/src/plantainloft_core/organisation_schema.py
+++ b/packages/core/src/plantainloft_core/organisation_schema.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 from plantainloft_core.organisations import (
-    SHOWN_DIGITS,
+    DIGEST_PREFIX_DIGITS,
     Organisation,
-    OrganisationBook,
-    RequestLimit,
-    build_organisations,
+    OrganisationIndex,
+    RateLimit,
+    build_organisation_index,
 )
 from plantainloft_core.schema_problems import SchemaProblems, section_of
 
@@ -32,7 +32,7 @@
 
 def parse_organisations(
     doc: Mapping[str, Any], problems: SchemaProblems, *, regions: frozenset[str]
-) -> OrganisationBook:
+) -> OrganisationIndex:
     """Return the organisations of ``doc`` and add its errors to ``problems``."""
     found = [
         _parse_organisation(name, raw, problems, known_regions=regions)
@@ -43,9 +43,9 @@
         for digest in sorted(organisation.key_digests):
             holder = holder_by_digest.setdefault(digest, organisation.name)
             if holder != organisation.name:
-                path = f'{SECTION}.{organisation.name}.keys.{digest[:SHOWN_DIGITS]}'
+                path = f'{SECTION}.{organisation.name}.keys.{digest[:DIGEST_PREFIX_DIGITS]}'
                 problems.add(path, f'already belongs to organisation {holder!r}')
-    return build_organisations(found)
+    return build_organisation_index(found)
 
 
 def _parse_organisation(
@@ -64,7 +64,7 @@
     return Organisation(
         name=name,
         key_digests=_parse_key_digests(f'{path}.keys', raw.get('keys', {}), problems),
-        limit=RequestLimit(rate, burst) if rate else None,
+        limit=RateLimit(rate, burst) if rate else None,
         priority=priority,
         regions=_parse_regions(f'{path}.regions', raw.get('regions', []), problems, known_regions),
     )
--- a/packages/core/src/plantainloft_core/organisations.py
+++ b/packages/core/src/plantainloft_core/organisations.py
@@ -10,21 +10,21 @@
 from typing import NamedTuple
 
 __all__ = [
+    'DIGEST_PREFIX_DIGITS',
     'NO_ORGANISATIONS',
-    'SHOWN_DIGITS',
     'Organisation',
-    'OrganisationBook',
-    'RequestLimit',
-    'build_organisations',
+    'OrganisationIndex',
+    'RateLimit',
+    'build_organisation_index',
     'digest_key',
-    'doubly_held_keys',
+    'shared_key_digests',
 ]
 
 # Number of leading hexadecimal digits of a digest that identify a key in messages.
-SHOWN_DIGITS = 12
+DIGEST_PREFIX_DIGITS = 12
 
 
-class RequestLimit(NamedTuple):
+class RateLimit(NamedTuple):
     """The rate limit of an organisation, across all instances.
 
     In any time window, ``rate`` (requests per second) times the length of the
@@ -34,7 +34,7 @@
     rate: float
     burst: float
 
-    def in_window(self, window_s: float) -> float:
+    def max_requests(self, window_s: float) -> float:
         """Return how many requests may run in ``window_s`` seconds."""
         return self.rate * window_s + self.burst
 
@@ -50,18 +50,18 @@
 
     name: str
     key_digests: frozenset[str]
-    limit: RequestLimit | None = None
+    limit: RateLimit | None = None
     priority: int | None = None
     regions: frozenset[str] = frozenset()
 
 
-class OrganisationBook(NamedTuple):
+class OrganisationIndex(NamedTuple):
     """The organisations of one configuration version, indexed by name and key."""
 
     by_name: Mapping[str, Organisation]
     by_key_digest: Mapping[str, Organisation]
 
-    def holder_of(self, key: bytes) -> Organisation | None:
+    def find_by_key(self, key: bytes) -> Organisation | None:
         """Return the organisation that ``key`` belongs to, if there is one."""
         return self.by_key_digest.get(digest_key(key))
 
@@ -71,10 +71,10 @@
     return sha256(key).hexdigest()
 
 
-def build_organisations(organisations: Iterable[Organisation]) -> OrganisationBook:
+def build_organisation_index(organisations: Iterable[Organisation]) -> OrganisationIndex:
     """Index ``organisations`` by name and by key digest."""
     by_name = {organisation.name: organisation for organisation in organisations}
-    return OrganisationBook(
+    return OrganisationIndex(
         by_name=by_name,
         by_key_digest={
             digest: organisation
@@ -84,7 +84,7 @@
     )
 
 
-def doubly_held_keys(organisations: Iterable[Organisation]) -> list[str]:
+def shared_key_digests(organisations: Iterable[Organisation]) -> list[str]:
     """Return the digests of the keys that belong to several organisations."""
     holders_by_digest = Counter(
         digest for organisation in organisations for digest in organisation.key_digests
@@ -92,4 +92,4 @@
     return sorted(digest for digest, holders in holders_by_digest.items() if holders > 1)
 
 
-NO_ORGANISATIONS = build_organisations(())
+NO_ORGANISATIONS = build_organisation_index(())
--- a/packages/core/src/plantainloft_core/patching.py
+++ b/packages/core/src/plantainloft_core/patching.py
@@ -12,7 +12,7 @@
 from plantainloft_core.model import Configuration, parse_configuration, update_entries
 from plantainloft_core.outcomes import Invalid
 
-__all__ = ['apply_change', 'apply_patch', 'replay']
+__all__ = ['apply_committed_patch', 'apply_patch', 'replay']
 
 Document = dict[str, Any]
 Patch = list[dict[str, Any]]
@@ -49,7 +49,7 @@
     return patched, new_config
 
 
-def apply_change(
+def apply_committed_patch(
     document: Document, config: Configuration, patch: Patch
 ) -> tuple[Document, Configuration] | Invalid:
     """Apply a committed patch to get the version that follows ``config``.
--- a/packages/core/src/plantainloft_core/planning.py
+++ b/packages/core/src/plantainloft_core/planning.py
@@ -11,34 +11,34 @@
 
 from plantainloft_core.model import Configuration
 
-__all__ = ['RegionView', 'desired_shares', 'view_regions']
+__all__ = ['RegionLoad', 'summarise_regions', 'target_shares']
 
 RETURN_HOME_MIN_FREE_FRACTION = 0.3
 RETURN_HOME_STEP_SHARE = 0.05
 MAX_REFUSED_SHARE = 0.01
 
 
-class RegionView(NamedTuple):
+class RegionLoad(NamedTuple):
     """What a node knows about one service in one region.
 
-    ``slots`` is the number of usable slots and ``free`` how many of them are
+    ``usable_slots`` is the number of slots that may be used and ``free_slots`` how many of them are
     not in use. ``refused_share`` (0..1) is the share of recent requests to the
     region that found no headroom.
     """
 
-    slots: float
-    free: float
+    usable_slots: float
+    free_slots: float
     refused_share: float
 
 
-def view_regions(
+def summarise_regions(
     config: Configuration,
     service: str,
     *,
-    usable_by_endpoint: Mapping[str, float],
-    free_by_endpoint: Mapping[str, float],
+    usable_slots_by_endpoint: Mapping[str, float],
+    free_slots_by_endpoint: Mapping[str, float],
     refused_by_region: Mapping[str, float],
-) -> dict[str, RegionView]:
+) -> dict[str, RegionLoad]:
     """Aggregate the service's endpoints by region.
 
     Evacuating regions and regions without a usable slot are left out.
@@ -47,66 +47,68 @@
     free_by_region: dict[str, float] = {}
     for endpoint in config.endpoints_by_service.get(service, ()):
         region = config.regions_by_name[endpoint.region]
-        usable = usable_by_endpoint.get(endpoint.name, 0.0)
+        usable = usable_slots_by_endpoint.get(endpoint.name, 0.0)
         if endpoint.state != 'active' or region.evacuating or usable <= 0:
             continue
         slots_by_region[region.name] = slots_by_region.get(region.name, 0.0) + usable
-        free = max(0.0, free_by_endpoint.get(endpoint.name, 0.0))
+        free = max(0.0, free_slots_by_endpoint.get(endpoint.name, 0.0))
         free_by_region[region.name] = free_by_region.get(region.name, 0.0) + free
     return {
-        name: RegionView(
-            slots=slots, free=free_by_region[name], refused_share=refused_by_region.get(name, 0.0)
+        name: RegionLoad(
+            usable_slots=slots,
+            free_slots=free_by_region[name],
+            refused_share=refused_by_region.get(name, 0.0),
         )
         for name, slots in slots_by_region.items()
     }
 
 
-def desired_shares(
+def target_shares(
     current_by_region: Mapping[str, float],
-    views_by_region: Mapping[str, RegionView],
+    loads_by_region: Mapping[str, RegionLoad],
     *,
-    home: str,
+    home_region: str,
 ) -> dict[str, float]:
     """Return the target split, or the current one if no region is usable.
 
     If no region is usable, moving would gain nothing and would use up the
     shift budget that is needed once a region recovers.
     """
-    if not views_by_region:
+    if not loads_by_region:
         return dict(current_by_region)
     shares = {
-        region: _retained_share(share, views_by_region.get(region))
+        region: _retained_share(share, loads_by_region.get(region))
         for region, share in current_by_region.items()
     }
     unplaced = 1.0 - sum(shares.values())
-    home_view = views_by_region.get(home)
-    if home_view is not None and _can_take_back(home_view):
-        returned_share = min(RETURN_HOME_STEP_SHARE, 1.0 - shares.get(home, 0.0))
+    home_load = loads_by_region.get(home_region)
+    if home_load is not None and _can_take_back(home_load):
+        returned_share = min(RETURN_HOME_STEP_SHARE, 1.0 - shares.get(home_region, 0.0))
         # Traffic that must be placed anyway goes home first, and then traffic
         # of the other regions.
         from_others = max(0.0, returned_share - unplaced)
-        shares = _reduce_others(shares, from_others, keep=home)
+        shares = _reduce_others(shares, from_others, keep=home_region)
         unplaced = max(0.0, unplaced - returned_share)
-        shares[home] = shares.get(home, 0.0) + returned_share
-    weights = _weights(views_by_region)
+        shares[home_region] = shares.get(home_region, 0.0) + returned_share
+    weights = _weights(loads_by_region)
     total = sum(weights.values())
     for region, weight in weights.items():
         shares[region] = shares.get(region, 0.0) + unplaced * weight / total
     return shares
 
 
-def _retained_share(share: float, view: RegionView | None) -> float:
-    if view is None:
+def _retained_share(share: float, load: RegionLoad | None) -> float:
+    if load is None:
         return 0.0
-    if view.refused_share <= MAX_REFUSED_SHARE:
+    if load.refused_share <= MAX_REFUSED_SHARE:
         return share
-    return share * (1.0 - view.refused_share)
+    return share * (1.0 - load.refused_share)
 
 
-def _can_take_back(view: RegionView) -> bool:
+def _can_take_back(load: RegionLoad) -> bool:
     return (
-        view.refused_share <= MAX_REFUSED_SHARE
-        and view.free >= view.slots * RETURN_HOME_MIN_FREE_FRACTION
+        load.refused_share <= MAX_REFUSED_SHARE
+        and load.free_slots >= load.usable_slots * RETURN_HOME_MIN_FREE_FRACTION
     )
 
 
@@ -120,15 +122,15 @@
     }
 
 
-def _weights(views_by_region: Mapping[str, RegionView]) -> dict[str, float]:
+def _weights(loads_by_region: Mapping[str, RegionLoad]) -> dict[str, float]:
     """Return the regions' weights: their free slots, or all slots if none are free.
 
     Regions that refuse requests have no weight while another has free slots.
     """
-    accepting = {name: view for name, view in views_by_region.items() if not _is_refusing(view)}
-    free = {name: view.free for name, view in accepting.items() if view.free > 0}
-    return free or {name: view.slots for name, view in views_by_region.items()}
+    accepting = {name: load for name, load in loads_by_region.items() if not _is_refusing(load)}
+    free = {name: load.free_slots for name, load in accepting.items() if load.free_slots > 0}
+    return free or {name: load.usable_slots for name, load in loads_by_region.items()}
 
 
-def _is_refusing(view: RegionView) -> bool:
-    return view.refused_share > MAX_REFUSED_SHARE
+def _is_refusing(load: RegionLoad) -> bool:
+    return load.refused_share > MAX_REFUSED_SHARE
--- a/packages/core/src/plantainloft_core/routes.py
+++ b/packages/core/src/plantainloft_core/routes.py
@@ -8,15 +8,15 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from plantainloft_core.organisations import NO_ORGANISATIONS, Organisation, OrganisationBook
+from plantainloft_core.organisations import NO_ORGANISATIONS, Organisation, OrganisationIndex
 
 __all__ = [
     'NO_REGIONS',
     'CallerLimits',
     'Route',
     'RouteTable',
-    'ServiceShare',
-    'ServiceSpec',
+    'ServiceLimits',
+    'WeightedService',
     'build_route_table',
 ]
 
@@ -24,7 +24,7 @@
 NO_REGIONS = frozenset(('',))
 
 
-class ServiceShare(NamedTuple):
+class WeightedService(NamedTuple):
     """A service and its relative weight in the traffic split of a route."""
 
     service: str
@@ -34,7 +34,7 @@
 class Route(NamedTuple):
     """A route for the requests to ``host`` whose path starts with ``prefix``.
 
-    ``timeout_s`` is the longest time that a caller waits, ``objective_s`` the
+    ``timeout_s`` is the longest time that a caller waits, ``latency_objective_s`` the
     latency objective, ``max_attempts`` the number of endpoints that a request
     may be sent to, and ``priority`` its rank (0 is served first). ``regions``
     are the only regions in which requests may run; an empty set means all. A
@@ -46,15 +46,15 @@
     prefix: str
     idempotent: bool
     timeout_s: float
-    objective_s: float
+    latency_objective_s: float
     max_attempts: int
     priority: int
-    shares: tuple[ServiceShare, ...]
+    shares: tuple[WeightedService, ...]
     sticky: bool
     regions: frozenset[str]
     public: bool = False
 
-    def on_terms_of(self, organisation: Organisation) -> 'Route':
+    def with_organisation_settings(self, organisation: Organisation) -> 'Route':
         """Return this route with the settings of ``organisation`` applied.
 
         The regions are those that both allow. If there are none, they are
@@ -67,10 +67,10 @@
         return self._replace(priority=priority, regions=regions)
 
 
-class ServiceSpec(NamedTuple):
+class ServiceLimits(NamedTuple):
     """The load that endpoints of a service can take.
 
-    ``cold_rate`` is the number of requests per second that a cold endpoint can
+    ``cold_requests_per_s`` is the number of requests per second that a cold endpoint can
     take, and ``warmup_s`` is how long an endpoint is cold after its start.
     """
 
@@ -78,14 +78,14 @@
     health_path: str
     max_connections: int
     warmup_s: float
-    cold_rate: float
+    cold_requests_per_s: float
 
 
 class CallerLimits(NamedTuple):
     """Limits on the size and duration of what a caller sends."""
 
-    header_bytes: int = 16384
-    body_bytes: int = 67108864
+    max_header_bytes: int = 16384
+    max_body_bytes: int = 67108864
     header_timeout_s: float = 3.0
     idle_timeout_s: float = 15.0
 
@@ -95,16 +95,16 @@
 
     version: int
     routes_by_host: Mapping[str, tuple[Route, ...]]
-    services_by_name: Mapping[str, ServiceSpec]
+    services_by_name: Mapping[str, ServiceLimits]
     limits: CallerLimits
-    organisations: OrganisationBook = NO_ORGANISATIONS
+    organisations: OrganisationIndex = NO_ORGANISATIONS
 
     @property
-    def asks_for_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Whether routes that are not public require a key."""
         return bool(self.organisations.by_name)
 
-    def match(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route of ``host`` with the longest prefix that matches ``path``."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
@@ -116,9 +116,9 @@
     *,
     version: int,
     routes: Iterable[Route],
-    services: Iterable[ServiceSpec],
+    services: Iterable[ServiceLimits],
     limits: CallerLimits,
-    organisations: OrganisationBook = NO_ORGANISATIONS,
+    organisations: OrganisationIndex = NO_ORGANISATIONS,
 ) -> RouteTable:
     """Index ``routes`` by host, longest prefix first."""
     routes_by_host: dict[str, list[Route]] = {}
@@ -134,4 +134,4 @@
     )
 
 
-NO_ROUTES = build_route_table(version=0, routes=(), services=(), limits=CallerLimits())
+EMPTY_ROUTE_TABLE = build_route_table(version=0, routes=(), services=(), limits=CallerLimits())
--- a/packages/core/src/plantainloft_core/serving.py
+++ b/packages/core/src/plantainloft_core/serving.py
@@ -14,12 +14,12 @@
 from hypercorn.asyncio import serve
 from hypercorn.config import Config
 
-__all__ = ['serve_until_stopped']
+__all__ = ['serve_until_signal']
 
 log = logging.getLogger(__name__)
 
 
-async def serve_until_stopped(
+async def serve_until_signal(
     app: Any,
     *,
     bind: str,
--- a/packages/core/src/plantainloft_core/shifting.py
+++ b/packages/core/src/plantainloft_core/shifting.py
@@ -10,7 +10,7 @@
 import collections
 from collections.abc import Mapping
 
-__all__ = ['SHIFT_WINDOW_S', 'ServiceSplit']
+__all__ = ['SHIFT_WINDOW_S', 'TrafficSplit']
 
 SHIFT_WINDOW_S = 10.0
 BUCKET_S = 0.5
@@ -40,7 +40,7 @@
         return sum(amount for _, amount in self._buckets)
 
 
-class ServiceSplit:
+class TrafficSplit:
     """One node's split of one service: a share (0..1) for each region.
 
     Times are in seconds of the caller's monotonic clock.
@@ -53,26 +53,28 @@
         self._request_count = _WindowSum()
         self._spilled_count = _WindowSum()
 
-    def budget(self, *, cap: float, now: float) -> float:
+    def remaining_shift(self, *, cap: float, now: float) -> float:
         """Return the share that may still be moved within the current window."""
         requests = self._request_count.total(now)
         spilled = self._spilled_count.total(now) / requests if requests else 0.0
         return max(0.0, cap - self._moved_share.total(now) - spilled)
 
-    def retarget(self, desired_by_region: Mapping[str, float], *, cap: float, now: float) -> float:
-        """Move towards the desired split as far as the cap allows.
+    def move_towards(
+        self, target_by_region: Mapping[str, float], *, cap: float, now: float
+    ) -> float:
+        """Move towards the target split as far as the cap allows.
 
         Returns the share that was moved. Later calls move the rest.
         """
-        regions = self.shares_by_region.keys() | desired_by_region.keys()
+        regions = self.shares_by_region.keys() | target_by_region.keys()
         gaps = {
-            region: desired_by_region.get(region, 0.0) - self.shares_by_region.get(region, 0.0)
+            region: target_by_region.get(region, 0.0) - self.shares_by_region.get(region, 0.0)
             for region in regions
         }
         total_gap = sum(gap for gap in gaps.values() if gap > 0)
         if total_gap < _EPSILON:
             return 0.0
-        fraction = min(1.0, self.budget(cap=cap, now=now) / total_gap)
+        fraction = min(1.0, self.remaining_shift(cap=cap, now=now) / total_gap)
         for region in sorted(regions):
             self.shares_by_region[region] = (
                 self.shares_by_region.get(region, 0.0) + gaps[region] * fraction
@@ -80,7 +82,7 @@
         self._moved_share.add(total_gap * fraction, now)
         return total_gap * fraction
 
-    def pick(self, now: float) -> str | None:
+    def next_region(self, now: float) -> str | None:
         """Return the region of the next request by smooth weighted round robin.
 
         The number of requests sent to a region never differs from its share
@@ -96,14 +98,14 @@
         self._credit_by_region[chosen] -= sum(shares.values())
         return chosen
 
-    def try_spill(self, *, cap: float, now: float) -> bool:
+    def try_acquire_spillover(self, *, cap: float, now: float) -> bool:
         """Count one request sent outside the split, if the cap allows it.
 
         This lets other regions absorb a short burst without a change of the
         split. Each spilled request uses up the cap like a moved one.
         """
         requests = self._request_count.total(now)
-        if not requests or self.budget(cap=cap, now=now) < 1 / requests:
+        if not requests or self.remaining_shift(cap=cap, now=now) < 1 / requests:
             return False
         self._spilled_count.add(1, now)
         return True
--- a/packages/core/src/plantainloft_core/steering.py
+++ b/packages/core/src/plantainloft_core/steering.py
@@ -22,13 +22,13 @@
     'RegionLimits',
     'SteeringPolicy',
     'active_endpoints',
-    'headroom',
-    'is_known',
+    'free_slots',
+    'has_fresh_report',
     'usable_slots',
 ]
 
 REPORT_MAX_AGE_S = 4.0
-WARMUP_S = 10.0
+SLOW_START_S = 10.0
 COLD_START_SHARE = 0.25
 RETRY_AFTER_S = 1
 SAMPLE_SIZE = 2
@@ -43,30 +43,30 @@
     ``local_inflight`` is the exact number of this node's own requests in
     flight. ``reported_inflight`` comes from the endpoint's last report, which
     is ``report_age_s`` old; it is ``None`` if no report has arrived yet.
-    ``known_for_s`` is how long this node has known the endpoint, and
+    ``in_service_s`` is how long this node has known the endpoint, and
     ``draining`` whether the endpoint reports that it is shutting down.
     """
 
     local_inflight: int
     reported_inflight: int | None
     report_age_s: float
-    known_for_s: float
+    in_service_s: float
     draining: bool = False
 
 
 class RegionLimits(NamedTuple):
     """This node's requests in flight by region, and the most allowed.
 
-    Regions that are missing from ``allowed_by_region`` may not be chosen.
+    Regions that are missing from ``max_inflight_by_region`` may not be chosen.
     """
 
-    own_by_region: Mapping[str, int]
-    allowed_by_region: Mapping[str, float]
+    own_inflight_by_region: Mapping[str, int]
+    max_inflight_by_region: Mapping[str, float]
 
     def allows_one_more(self, region: str) -> bool:
         """Return whether one more request may be sent to ``region``."""
-        allowed = self.allowed_by_region.get(region, 0.0)
-        return self.own_by_region.get(region, 0) + 1 <= allowed
+        allowed = self.max_inflight_by_region.get(region, 0.0)
+        return self.own_inflight_by_region.get(region, 0) + 1 <= allowed
 
 
 class Choice(NamedTuple):
@@ -142,7 +142,7 @@
         return Choice(endpoint=nearest[next(self._turns) % len(nearest)])
 
 
-def is_known(load: EndpointLoad) -> bool:
+def has_fresh_report(load: EndpointLoad) -> bool:
     """Return whether the endpoint has reported its load recently."""
     return load.reported_inflight is not None and load.report_age_s <= REPORT_MAX_AGE_S
 
@@ -151,10 +151,10 @@
     """Return how many requests ``endpoint`` may have in flight now.
 
     A new endpoint starts with a quarter of its slots and gets all of them
-    over ``WARMUP_S``. Requests are slow until its caches are warm, so a large
+    over ``SLOW_START_S``. Requests are slow until its caches are warm, so a large
     traffic shift must not reach it all at once.
     """
-    warm = min(1.0, load.known_for_s / WARMUP_S)
+    warm = min(1.0, load.in_service_s / SLOW_START_S)
     share = COLD_START_SHARE + (1 - COLD_START_SHARE) * warm
     return max(1.0, endpoint.slots * share)
 
@@ -163,20 +163,20 @@
     """Return the estimated number of requests in flight at the endpoint.
 
     A stale or missing report does not mean that the endpoint is idle. In that
-    case only this node's own requests are counted, and ``headroom`` allows
+    case only this node's own requests are counted, and ``free_slots`` allows
     one request at a time, which shows as a low share of that endpoint in the
     node's metrics.
     """
-    if load.reported_inflight is None or not is_known(load):
+    if load.reported_inflight is None or not has_fresh_report(load):
         return float(load.local_inflight)
     return float(max(load.reported_inflight, load.local_inflight))
 
 
-def headroom(endpoint: Endpoint, load: EndpointLoad) -> float:
+def free_slots(endpoint: Endpoint, load: EndpointLoad) -> float:
     """Return this node's estimate of the free slots at ``endpoint``."""
     if load.draining:
         return 0
-    if not is_known(load):
+    if not has_fresh_report(load):
         # The load is unknown: allow one request in flight as a probe.
         return 1.0 - load.local_inflight
     return usable_slots(endpoint, load) - estimated_inflight(load)
@@ -186,7 +186,7 @@
     local_inflight=0,
     reported_inflight=None,
     report_age_s=0,
-    known_for_s=0,
+    in_service_s=0,
 )
 
 
@@ -223,7 +223,7 @@
         usable_regions = _regions_below_limits(config, loads_by_endpoint, limits)
         candidates_by_tier: dict[int, list[_Candidate]] = {}
         for endpoint in endpoints:
-            free = headroom(endpoint, loads_by_endpoint.get(endpoint.name, _UNKNOWN_LOAD))
+            free = free_slots(endpoint, loads_by_endpoint.get(endpoint.name, _UNKNOWN_LOAD))
             if free >= 1 and endpoint.region in usable_regions:
                 tier = _tier(config, endpoint, zone)
                 candidates_by_tier.setdefault(tier, []).append(_Candidate(free, endpoint))
--- a/packages/core/src/plantainloft_core/table_client.py
+++ b/packages/core/src/plantainloft_core/table_client.py
@@ -1,7 +1,7 @@
 """Client of the platform's transactional table service (JSON over HTTP).
 
 Calls do not raise on HTTP errors: they return the result or ``Unreachable``.
-A transaction whose response is lost returns ``LostAnswer``, a subclass of
+A transaction whose response is lost returns ``LostResponse``, a subclass of
 ``Unreachable``, because the write may have taken effect.
 """
 
@@ -12,14 +12,14 @@
 from plantainloft_core.http_errors import NEVER_SENT
 from plantainloft_core.outcomes import Unreachable
 
-__all__ = ['LostAnswer', 'Row', 'TableClient', 'TxnConflict', 'TxnDone']
+__all__ = ['LostResponse', 'TableClient', 'TableRow', 'TxnCommitted', 'TxnConflict']
 
 _CONFLICT = 409
 _NOT_FOUND = 404
 _OK = 200
 
 
-class Row(NamedTuple):
+class TableRow(NamedTuple):
     """A table row; its ``version`` is incremented by each write."""
 
     key: str
@@ -27,7 +27,7 @@
     value: Any
 
 
-class TxnDone(NamedTuple):
+class TxnCommitted(NamedTuple):
     """The transaction was applied; ``versions_by_key`` are the new row versions."""
 
     versions_by_key: dict[str, int]
@@ -39,7 +39,7 @@
     versions_by_key: dict[str, int]
 
 
-class LostAnswer(Unreachable):
+class LostResponse(Unreachable):
     """A write was sent but its response was lost; it may have been applied."""
 
 
@@ -63,15 +63,15 @@
         """Close the HTTP connections."""
         await self._http.aclose()
 
-    async def get(self, key: str) -> Row | Unreachable | None:
+    async def get(self, key: str) -> TableRow | Unreachable | None:
         """Return the row with ``key``, or ``None`` if it does not exist."""
         response = await self._call('GET', f'/rows/{key}', what=f'get {key}')
         if response is None or isinstance(response, Unreachable):
             return response
         body = response.json()
-        return Row(key=key, version=body['version'], value=body['value'])
+        return TableRow(key=key, version=body['version'], value=body['value'])
 
-    async def scan(self, prefix: str) -> list[Row] | Unreachable:
+    async def scan(self, prefix: str) -> list[TableRow] | Unreachable:
         """Return the rows whose keys start with ``prefix``, in key order."""
         response = await self._call(
             'GET', '/rows', what=f'scan {prefix}', params={'prefix': prefix}
@@ -81,7 +81,7 @@
         if isinstance(response, Unreachable):
             return response
         return [
-            Row(key=row['key'], version=row['version'], value=row['value'])
+            TableRow(key=row['key'], version=row['version'], value=row['value'])
             for row in response.json()['rows']
         ]
 
@@ -99,12 +99,12 @@
             return Unreachable(reason=f'object {key}: status {_NOT_FOUND}')
         return response if isinstance(response, Unreachable) else None
 
-    async def txn(
+    async def commit_transaction(
         self,
         *,
         conditions: dict[str, int],
         writes: dict[str, Any],
-    ) -> TxnDone | TxnConflict | Unreachable:
+    ) -> TxnCommitted | TxnConflict | Unreachable:
         """Apply ``writes`` if every row in ``conditions`` has the given version.
 
         Version 0 in ``conditions`` means that the row must not exist.
@@ -118,14 +118,14 @@
         except NEVER_SENT as exc:
             return Unreachable(reason=f'txn: {type(exc).__name__}')
         except httpx.HTTPError as exc:
-            return LostAnswer(reason=f'txn: {type(exc).__name__}')
+            return LostResponse(reason=f'txn: {type(exc).__name__}')
         if response.status_code == _CONFLICT:
             return TxnConflict(
                 versions_by_key={row['key']: row['version'] for row in response.json()['conflicts']}
             )
         if response.status_code != _OK:
-            return LostAnswer(reason=f'txn: status {response.status_code}')
-        return TxnDone(versions_by_key=response.json()['versions'])
+            return LostResponse(reason=f'txn: status {response.status_code}')
+        return TxnCommitted(versions_by_key=response.json()['versions'])
 
     async def _call(
         self, method: str, path: str, *, what: str, **extra: Any
--- a/packages/core/src/plantainloft_core/txn_batching.py
+++ b/packages/core/src/plantainloft_core/txn_batching.py
@@ -4,7 +4,7 @@
 the whole deployment. Each non-idempotent request needs two conditional
 writes, so sending them one by one would exhaust this at a few hundred
 requests per second. The batcher sends at most one transaction per
-``pace_s``, with everything that was queued meanwhile. This bounds a node's
+``min_interval_s``, with everything that was queued meanwhile. This bounds a node's
 write rate independently of its request rate.
 """
 
@@ -16,14 +16,14 @@
 import anyio
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.table_client import TableClient, TxnConflict, TxnDone
+from plantainloft_core.table_client import TableClient, TxnCommitted, TxnConflict
 
 __all__ = ['TxnBatcher', 'TxnOutcome']
 
-MAX_ROWS = 100
+MAX_BATCH_ROWS = 100
 POST_ATTEMPTS = 3
 
-TxnOutcome = TxnDone | TxnConflict | Unreachable
+TxnOutcome = TxnCommitted | TxnConflict | Unreachable
 
 
 class _PendingTransaction:
@@ -47,7 +47,7 @@
 
 
 class TxnBatcher:
-    """Sends queued transactions in batches, at most one batch per ``pace_s``.
+    """Sends queued transactions in batches, at most one batch per ``min_interval_s``.
 
     The transactions of a batch touch different rows, so a conflict can be
     attributed to the transactions that caused it; the others go into the next
@@ -55,10 +55,10 @@
     transactions, because all of them may have been applied.
     """
 
-    def __init__(self, *, client: TableClient, pace_s: float) -> None:
-        self.sent = 0
+    def __init__(self, *, client: TableClient, min_interval_s: float) -> None:
+        self.batches_sent = 0
         self._client = client
-        self._pace_s = pace_s
+        self._min_interval_s = min_interval_s
         self._queue: collections.deque[_PendingTransaction] = collections.deque()
         self._has_work = anyio.Event()
         self._idle = anyio.Event()
@@ -72,7 +72,7 @@
         await pending.settled.wait()
         return pending.outcome
 
-    def post(self, *, conditions: dict[str, int], writes: dict[str, Any]) -> None:
+    def submit_nowait(self, *, conditions: dict[str, int], writes: dict[str, Any]) -> None:
         """Queue a transaction for the next batch without waiting for it.
 
         It is dropped after ``POST_ATTEMPTS`` attempts while the table is
@@ -82,16 +82,16 @@
             _PendingTransaction(conditions=conditions, writes=writes, attempts=POST_ATTEMPTS)
         )
 
-    async def flush(self, *, within_s: float) -> None:
-        """Wait until the queue is empty, for at most ``within_s`` seconds."""
-        with anyio.move_on_after(within_s):
+    async def flush(self, *, timeout_s: float) -> None:
+        """Wait until the queue is empty, for at most ``timeout_s`` seconds."""
+        with anyio.move_on_after(timeout_s):
             await self._idle.wait()
 
     async def run(self) -> None:
         """Send batches until cancelled."""
         while True:
             await self._has_work.wait()
-            wait_s = self._last_sent_at + self._pace_s - time.monotonic()
+            wait_s = self._last_sent_at + self._min_interval_s - time.monotonic()
             if wait_s > 0:
                 await anyio.sleep(wait_s)
             await self._send_batch(self._next_batch())
@@ -109,7 +109,7 @@
         batch: list[_PendingTransaction] = []
         keys: set[str] = set()
         deferred: list[_PendingTransaction] = []
-        while self._queue and len(keys) < MAX_ROWS:
+        while self._queue and len(keys) < MAX_BATCH_ROWS:
             pending = self._queue.popleft()
             if keys.isdisjoint(pending.keys()):
                 batch.append(pending)
@@ -121,8 +121,8 @@
 
     async def _send_batch(self, batch: list[_PendingTransaction]) -> None:
         self._last_sent_at = time.monotonic()
-        self.sent += 1
-        outcome = await self._client.txn(
+        self.batches_sent += 1
+        outcome = await self._client.commit_transaction(
             conditions=dict(itertools.chain(*(pending.conditions.items() for pending in batch))),
             writes=dict(itertools.chain(*(pending.writes.items() for pending in batch))),
         )
--- a/packages/core/src/plantainloft_core/versions.py
+++ b/packages/core/src/plantainloft_core/versions.py
@@ -3,7 +3,7 @@
 Configuration is stored only in the platform's services.
 The version of the row ``config/head`` is the current configuration version.
 The row ``config/v/{n}`` holds the patch that created version n, its author
-and a change ID. Every ``SNAPSHOT_EVERY`` versions, the whole document is
+and a change ID. Every ``VERSIONS_PER_SNAPSHOT`` versions, the whole document is
 stored in the object store as ``config/snapshot/{n}`` (msgpack). A reader
 loads the newest snapshot and applies the patches that follow it.
 
@@ -21,10 +21,10 @@
 
 __all__ = [
     'HEAD_KEY',
-    'SNAPSHOT_EVERY',
+    'VERSIONS_PER_SNAPSHOT',
     'Change',
     'Snapshot',
-    'Version',
+    'StoredVersion',
     'read_change',
     'read_changes',
     'read_head',
@@ -35,7 +35,7 @@
 ]
 
 HEAD_KEY = 'config/head'
-SNAPSHOT_EVERY = 50
+VERSIONS_PER_SNAPSHOT = 50
 
 
 class Change(NamedTuple):
@@ -58,7 +58,7 @@
     document: dict[str, Any]
 
 
-class Version(NamedTuple):
+class StoredVersion(NamedTuple):
     """A version: its document, the parsed form and the change that created it."""
 
     document: dict[str, Any]
@@ -95,11 +95,11 @@
 
 
 async def read_changes(
-    client: TableClient, *, after: int, upto: int
+    client: TableClient, *, after: int, up_to: int
 ) -> list[Change] | Unreachable | Invalid:
-    """Return the changes that lead from version ``after`` to ``upto``."""
+    """Return the changes that lead from version ``after`` to ``up_to``."""
     changes = []
-    for number in range(after + 1, upto + 1):
+    for number in range(after + 1, up_to + 1):
         change = await read_change(client, number)
         if isinstance(change, Unreachable | Invalid):
             return change
@@ -109,7 +109,7 @@
 
 async def read_snapshot(client: TableClient, *, at_most: int) -> Snapshot | Unreachable:
     """Return the newest snapshot whose version is at most ``at_most``."""
-    number = at_most - at_most % SNAPSHOT_EVERY
+    number = at_most - at_most % VERSIONS_PER_SNAPSHOT
     while number > 0:
         packed = await client.get_object(snapshot_key(number))
         if isinstance(packed, Unreachable):
@@ -118,16 +118,16 @@
             return Snapshot(number=number, document=msgpack.unpackb(packed))
         # The object store was down when this snapshot was due. The previous
         # one and more patches result in the same document.
-        number -= SNAPSHOT_EVERY
+        number -= VERSIONS_PER_SNAPSHOT
     return Snapshot(number=0, document={})
 
 
-async def read_version(client: TableClient, number: int) -> Version | Unreachable | Invalid:
+async def read_version(client: TableClient, number: int) -> StoredVersion | Unreachable | Invalid:
     """Return version ``number``, built from the newest snapshot and patches."""
     snapshot = await read_snapshot(client, at_most=number)
     if isinstance(snapshot, Unreachable):
         return snapshot
-    changes = await read_changes(client, after=snapshot.number, upto=number)
+    changes = await read_changes(client, after=snapshot.number, up_to=number)
     if isinstance(changes, Unreachable | Invalid):
         return changes
     document = replay(snapshot.document, [change.patch for change in changes])
@@ -139,4 +139,4 @@
     last_change = changes[-1] if changes else await read_change(client, number)
     if isinstance(last_change, Unreachable | Invalid):
         return last_change
-    return Version(document=document, config=config, change=last_change)
+    return StoredVersion(document=document, config=config, change=last_change)
--- a/packages/ctl/src/plantainloft_ctl/commands/explain.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/explain.py
@@ -7,7 +7,7 @@
 
 import cappa
 
-from plantainloft_ctl.explaining import parse_log_lines, story_of
+from plantainloft_ctl.explaining import explain_request, parse_log_lines
 
 __all__ = ['Explain']
 
@@ -23,7 +23,7 @@
 
     def __call__(self) -> None:
         texts = (path.read_text(encoding='utf-8', errors='replace') for path in self.logs)
-        timeline = story_of(self.request, parse_log_lines(texts))
+        timeline = explain_request(self.request, parse_log_lines(texts))
         if not timeline:
             print(f'no log line found for request {self.request}', file=sys.stderr)
             raise cappa.Exit(code=EXIT_NOT_FOUND)
--- a/packages/ctl/src/plantainloft_ctl/commands/submit.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/submit.py
@@ -40,7 +40,7 @@
             self.table,
             lambda client: commit_patch(
                 client,
-                against=self.against,
+                base_version=self.against,
                 patch=patch,
                 author=self.author,
                 change_id=change_id,
--- a/packages/ctl/src/plantainloft_ctl/explaining.py
+++ b/packages/ctl/src/plantainloft_ctl/explaining.py
@@ -5,7 +5,7 @@
 from datetime import UTC, datetime
 from typing import Any
 
-__all__ = ['parse_log_lines', 'story_of']
+__all__ = ['explain_request', 'parse_log_lines']
 
 # Kinds of log lines that show what an instance knew when it made a decision.
 CONTEXT_KINDS = frozenset(
@@ -35,7 +35,7 @@
     return sorted(lines, key=lambda line: float(line['t']))
 
 
-def story_of(request: str, lines: list[LogLine]) -> list[str]:
+def explain_request(request: str, lines: list[LogLine]) -> list[str]:
     """Return the timeline of ``request``; empty if no line mentions it.
 
     Lines about the request itself are marked ``*``. The others show what the
--- a/packages/node/src/plantainloft_node/admission.py
+++ b/packages/node/src/plantainloft_node/admission.py
@@ -33,7 +33,7 @@
         if not config.organisations.by_name:
             return request
         key = request.headers.get(API_KEY_HEADER, '')
-        organisation = config.organisations.holder_of(key.encode())
+        organisation = config.organisations.find_by_key(key.encode())
         if organisation is None:
             return Unauthorised(reason='unknown key' if key else 'no key')
         exceeded = self.limiter.admit(organisation, time.monotonic())
--- a/packages/node/src/plantainloft_node/app.py
+++ b/packages/node/src/plantainloft_node/app.py
@@ -167,11 +167,14 @@
             {
                 'name': node.settings.name,
                 'version': node.follower.config.version,
-                'members': sorted(member.name for member in node.roster.live()),
+                'members': sorted(member.name for member in node.membership_list.live_members()),
                 'stats': node.stats.snapshot(),
                 'headroom_by_region': node.headroom_by_region(),
-                'shares_by_service': node.decider.shares(),
-                'peer_bytes': {'sent': node.traffic.sent, 'received': node.traffic.received},
+                'shares_by_service': node.endpoint_selector.shares(),
+                'peer_bytes': {
+                    'sent': node.peer_traffic.sent,
+                    'received': node.peer_traffic.received,
+                },
                 'slo_ms_by_service': {
                     name: service.slo_ms
                     for name, service in node.follower.config.services_by_name.items()
--- a/packages/node/src/plantainloft_node/config/settings.py
+++ b/packages/node/src/plantainloft_node/config/settings.py
@@ -6,10 +6,10 @@
 from plantainloft_core.outcomes import Invalid
 from plantainloft_node.ini_schema import (
     Option,
-    addresses,
-    choice,
-    not_negative,
-    positive,
+    host_port_list,
+    non_negative_float,
+    one_of,
+    positive_float,
     read_ini,
 )
 from plantainloft_node.limits.limiter import DEFAULT_TERMS, LimitTerms
@@ -64,7 +64,7 @@
     limit_slack: float
 
     @property
-    def limit_terms(self) -> LimitTerms:
+    def limit_parameters(self) -> LimitTerms:
         """Parameters of the organisations' request limits."""
         return LimitTerms(self.limit_window_s, self.limit_over, self.limit_slack)
 
@@ -76,24 +76,24 @@
     Option('node', 'listen', str),
     Option('node', 'advertise', str),
     Option('platform', 'table_url', str),
-    Option('platform', 'timeout_ms', positive, DEFAULT_TABLE_TIMEOUT_MS),
-    Option(_STEERING_SECTION, 'policy', choice('headroom', 'nearest'), 'headroom'),
-    Option(_STEERING_SECTION, 'lookup_ttl_s', positive, DEFAULT_LOOKUP_TTL_S),
-    Option(_STEERING_SECTION, 'config_poll_ms', positive, DEFAULT_CONFIG_POLL_MS),
-    Option(_STEERING_SECTION, 'load_poll_ms', positive, DEFAULT_LOAD_POLL_MS),
-    Option(_STEERING_SECTION, 'membership_lease_s', positive, DEFAULT_MEMBERSHIP_LEASE_S),
-    Option(_STEERING_SECTION, 'request_timeout_ms', positive, DEFAULT_REQUEST_TIMEOUT_MS),
-    Option(_STEERING_SECTION, 'claim_pace_ms', positive, DEFAULT_CLAIM_PACE_MS),
-    Option(_STEERING_SECTION, 'grace_s', positive, DEFAULT_GRACE_S),
-    Option(_STEERING_SECTION, 'leave_s', positive, DEFAULT_LEAVE_S),
+    Option('platform', 'timeout_ms', positive_float, DEFAULT_TABLE_TIMEOUT_MS),
+    Option(_STEERING_SECTION, 'policy', one_of('headroom', 'nearest'), 'headroom'),
+    Option(_STEERING_SECTION, 'lookup_ttl_s', positive_float, DEFAULT_LOOKUP_TTL_S),
+    Option(_STEERING_SECTION, 'config_poll_ms', positive_float, DEFAULT_CONFIG_POLL_MS),
+    Option(_STEERING_SECTION, 'load_poll_ms', positive_float, DEFAULT_LOAD_POLL_MS),
+    Option(_STEERING_SECTION, 'membership_lease_s', positive_float, DEFAULT_MEMBERSHIP_LEASE_S),
+    Option(_STEERING_SECTION, 'request_timeout_ms', positive_float, DEFAULT_REQUEST_TIMEOUT_MS),
+    Option(_STEERING_SECTION, 'claim_pace_ms', positive_float, DEFAULT_CLAIM_PACE_MS),
+    Option(_STEERING_SECTION, 'grace_s', positive_float, DEFAULT_GRACE_S),
+    Option(_STEERING_SECTION, 'leave_s', positive_float, DEFAULT_LEAVE_S),
     Option('peers', 'listen', str),
-    Option('peers', 'seeds', addresses, ()),
-    Option('log', 'level', choice('DEBUG', 'INFO', 'WARNING', 'ERROR'), 'INFO'),
-    Option('log', 'format', choice('text', 'json'), 'text'),
-    Option('metrics', 'console_every_s', not_negative, 0.0),
-    Option(_LIMITS_SECTION, 'window_s', positive, DEFAULT_TERMS.window_s),
-    Option(_LIMITS_SECTION, 'over', not_negative, DEFAULT_TERMS.over),
-    Option(_LIMITS_SECTION, 'slack', not_negative, DEFAULT_TERMS.slack),
+    Option('peers', 'seeds', host_port_list, ()),
+    Option('log', 'level', one_of('DEBUG', 'INFO', 'WARNING', 'ERROR'), 'INFO'),
+    Option('log', 'format', one_of('text', 'json'), 'text'),
+    Option('metrics', 'console_every_s', non_negative_float, 0.0),
+    Option(_LIMITS_SECTION, 'window_s', positive_float, DEFAULT_TERMS.window_s),
+    Option(_LIMITS_SECTION, 'over', non_negative_float, DEFAULT_TERMS.over),
+    Option(_LIMITS_SECTION, 'slack', non_negative_float, DEFAULT_TERMS.slack),
 )
 
 DEFAULT_SETTINGS_INI = """
--- a/packages/node/src/plantainloft_node/engine/callers.py
+++ b/packages/node/src/plantainloft_node/engine/callers.py
@@ -125,7 +125,7 @@
         if event is h11.NEED_DATA:
             return await self._read_more(self._protocol, started=current is not None)
         if isinstance(event, h11.Request):
-            if _head_size(event) > self._handler.limits().header_bytes:
+            if _head_size(event) > self._handler.limits().max_header_bytes:
                 await self._reject_request(self._protocol, _HEAD_TOO_LARGE)
                 return False
             self._current = await self._start_exchange(self._protocol, event, tasks)
@@ -152,7 +152,7 @@
         return True
 
     def _new_protocol(self, leftover: bytes) -> h11.Connection:
-        limit = self._handler.limits().header_bytes
+        limit = self._handler.limits().max_header_bytes
         protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=limit)
         if leftover:
             protocol.receive_data(leftover)
--- a/packages/node/src/plantainloft_node/engine/dispatch.py
+++ b/packages/node/src/plantainloft_node/engine/dispatch.py
@@ -174,7 +174,7 @@
             return refusal_with_retry_after(selection.reason)
         self._placement.note_sent(selection.endpoint, now)
         endpoint_request = self._build_endpoint_request(
-            admitted, selection, now, strip_key=table.asks_for_keys
+            admitted, selection, now, strip_key=table.requires_keys
         )
         may_have_run_before = attempts.may_have_run
         attempts.may_have_run = True
--- a/packages/node/src/plantainloft_node/engine/exchange.py
+++ b/packages/node/src/plantainloft_node/engine/exchange.py
@@ -47,7 +47,7 @@
         self.target = bytes(head.target)
         self.headers: Headers = [(bytes(key), bytes(value)) for key, value in head.headers]
         self.received_at = received_at
-        self.body = RequestBody(limit=limits.body_bytes)
+        self.body = RequestBody(limit=limits.max_body_bytes)
         # Set when all earlier responses of the connection have been sent.
         self.earlier_responses_sent = anyio.Event()
         self.response_started = False
--- a/packages/node/src/plantainloft_node/engine/front.py
+++ b/packages/node/src/plantainloft_node/engine/front.py
@@ -73,15 +73,15 @@
             await self._responses.respond_no_route(exchange, version=table.version)
             return
         organisation: Organisation | None = None
-        if table.asks_for_keys and not route.public:
+        if table.requires_keys and not route.public:
             key = self._organisation_key(exchange)
-            organisation = None if key is None else table.organisations.holder_of(key)
+            organisation = None if key is None else table.organisations.find_by_key(key)
             if organisation is None:
                 await self._responses.respond_unauthorised(
                     exchange, route, version=table.version, key=key
                 )
                 return
-            route = route.on_terms_of(organisation)
+            route = route.with_organisation_settings(organisation)
             over = self._limiter.admit(organisation, anyio.current_time())
             if over is not None:
                 await self._responses.respond_over_limit(
@@ -98,7 +98,7 @@
 
     def _route(self, exchange: Exchange, table: RouteTable) -> Route | None:
         host = (exchange.header(b'host') or b'').decode('latin-1').partition(':')[0]
-        return table.match(host.lower(), exchange.path)
+        return table.find_route(host.lower(), exchange.path)
 
     async def _serve(
         self,
--- a/packages/node/src/plantainloft_node/engine/replies.py
+++ b/packages/node/src/plantainloft_node/engine/replies.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from plantainloft_core.organisations import SHOWN_DIGITS, digest_key
+from plantainloft_core.organisations import DIGEST_PREFIX_DIGITS, digest_key
 from plantainloft_core.routes import Route
 from plantainloft_node.engine.attempts import Answered, Attempts, Failed, Refusal
 from plantainloft_node.engine.dialect import HeaderNames
@@ -84,7 +84,7 @@
         ``key`` is ``None`` unless the request has exactly one.
         """
         self._observe(route.name, 'unauthorised', anyio.current_time() - exchange.received_at)
-        digest = None if key is None else digest_key(key)[:SHOWN_DIGITS]
+        digest = None if key is None else digest_key(key)[:DIGEST_PREFIX_DIGITS]
         fields: dict[str, object] = {'route': route.name, 'version': version, 'key_digest': digest}
         self._log_outcome(exchange, 'unauthorised', fields)
         headers = [*self._request_id_headers(exchange), (b'www-authenticate', self._names.key)]
@@ -129,7 +129,7 @@
             fields['endpoint'] = outcome.endpoint_id
             fields['status'] = outcome.head.status
             self._observe(route.name, 'answered', elapsed_s)
-            kind = 'late' if elapsed_s > route.objective_s else 'answered'
+            kind = 'late' if elapsed_s > route.latency_objective_s else 'answered'
             self._log_outcome(exchange, kind, fields)
             await self._forward_response(exchange, outcome, attempts)
         elif isinstance(outcome, Refusal):
--- a/packages/node/src/plantainloft_node/entry/peer_calls.py
+++ b/packages/node/src/plantainloft_node/entry/peer_calls.py
@@ -9,9 +9,9 @@
 from plantainloft_core.outcomes import Unreachable
 from plantainloft_node.entry.settings import EntrySettings
 from plantainloft_node.fleet.members import FleetMember
-from plantainloft_node.streams.frames import Traffic
-from plantainloft_node.streams.links import Links
-from plantainloft_node.streams.listener import Handler, serve_peers
+from plantainloft_node.streams.frames import PeerTrafficCounter
+from plantainloft_node.streams.links import PeerConnections
+from plantainloft_node.streams.listener import FrameHandler, serve_peers
 
 __all__ = ['PeerCalls']
 
@@ -25,14 +25,14 @@
 
     def __init__(self, *, settings: EntrySettings, tasks: TaskGroup) -> None:
         self._control = settings.control
-        self._traffic = Traffic()
-        self._links = Links(tasks=tasks, traffic=self._traffic)
+        self._peer_traffic = PeerTrafficCounter()
+        self._peer_connections = PeerConnections(tasks=tasks, peer_traffic=self._peer_traffic)
 
     async def call(self, member: FleetMember, kind: str, content: Any) -> Any | Unreachable:
         """Call ``member`` and return the content of its answer, or ``Unreachable``."""
         host = member.front.rpartition(':')[0]
         address = f'{host}:{self._control.rpartition(":")[2]}'
-        answer = await self._links.call(address, kind, content, timeout_s=CALL_TIMEOUT_S)
+        answer = await self._peer_connections.call(address, kind, content, timeout_s=CALL_TIMEOUT_S)
         if isinstance(answer, Unreachable):
             log.info(
                 'Fleet: no answer from %s.',
@@ -41,6 +41,6 @@
             )
         return answer
 
-    async def serve(self, handler_by_kind: Mapping[str, Handler]) -> None:
+    async def serve(self, handler_by_kind: Mapping[str, FrameHandler]) -> None:
         """Answer calls of other instances until cancelled."""
-        await serve_peers(self._control, handler_by_kind, traffic=self._traffic)
+        await serve_peers(self._control, handler_by_kind, peer_traffic=self._peer_traffic)
--- a/packages/node/src/plantainloft_node/entry/process.py
+++ b/packages/node/src/plantainloft_node/entry/process.py
@@ -19,7 +19,7 @@
 from plantainloft_node.entry.report import MetricsReport
 from plantainloft_node.entry.serving import build_request_pipeline
 from plantainloft_node.entry.settings import EntrySettings
-from plantainloft_node.entry.terms import TICK_S, local_member
+from plantainloft_node.entry.terms import UPDATE_INTERVAL_S, local_member
 from plantainloft_node.entry.upkeep import PeriodicUpdates
 from plantainloft_node.fleet.beats import BeatExchange
 from plantainloft_node.fleet.members import Beat, MemberBook
@@ -192,6 +192,6 @@
         deadline = started_at + self._settings.grace_s - SHUTDOWN_MARGIN_S
         now = started_at
         while now < lookups_expire_at or (self.pipeline.front.in_progress and now < deadline):
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(UPDATE_INTERVAL_S)
             now = anyio.current_time()
         self._listeners.close_idle()
--- a/packages/node/src/plantainloft_node/entry/serving.py
+++ b/packages/node/src/plantainloft_node/entry/serving.py
@@ -10,7 +10,7 @@
 from plantainloft_node.entry.observing import Observation
 from plantainloft_node.entry.report import MetricsReport
 from plantainloft_node.entry.settings import EntrySettings
-from plantainloft_node.entry.terms import limit_terms, placement_terms, retry_terms
+from plantainloft_node.entry.terms import limit_parameters, placement_terms, retry_terms
 from plantainloft_node.limits.limiter import RequestLimiter
 from plantainloft_node.placing.placement import Placement
 from plantainloft_node.quarantine.crash_checks import CrashChecks, EndpointRun
@@ -33,7 +33,7 @@
         """Apply the limits of reloaded settings."""
         self.placement.terms = placement_terms(settings)
         self.dispatcher.retries = retry_terms(settings)
-        self.limiter.terms = limit_terms(settings)
+        self.limiter.terms = limit_parameters(settings)
 
 
 def build_request_pipeline(
@@ -61,7 +61,7 @@
         crash_checks=crash_checks,
         quarantine=quarantine,
     )
-    limiter = RequestLimiter(me=settings.name, terms=limit_terms(settings))
+    limiter = RequestLimiter(me=settings.name, terms=limit_parameters(settings))
     front = Front(
         names=names,
         dispatcher=dispatcher,
--- a/packages/node/src/plantainloft_node/entry/settings.py
+++ b/packages/node/src/plantainloft_node/entry/settings.py
@@ -5,10 +5,10 @@
 from plantainloft_core.outcomes import Invalid
 from plantainloft_node.ini_schema import (
     Option,
-    addresses,
-    choice,
-    not_negative,
-    positive,
+    host_port_list,
+    non_negative_float,
+    one_of,
+    positive_float,
     read_ini,
 )
 from plantainloft_node.limits.limiter import DEFAULT_TERMS
@@ -31,9 +31,9 @@
 def duration(raw: str) -> float:
     """Convert a duration such as ``250ms`` or ``1.5s`` to seconds."""
     if raw.endswith('ms'):
-        return positive(raw.removesuffix('ms')) / MS_PER_S
+        return positive_float(raw.removesuffix('ms')) / MS_PER_S
     if raw.endswith('s'):
-        return positive(raw.removesuffix('s'))
+        return positive_float(raw.removesuffix('s'))
     raise ValueError('must be a time such as 250ms or 1.5s')
 
 
@@ -95,21 +95,21 @@
     Option(_LISTEN, 'directory', str),
     Option(_LISTEN, 'control', str),
     Option(_LISTEN, 'metrics', str, ''),
-    Option('peers', 'port', positive),
-    Option('peers', 'seeds', addresses, ()),
+    Option('peers', 'port', positive_float),
+    Option('peers', 'seeds', host_port_list, ()),
     Option('store', 'address', str),
     Option('lookup', 'ttl', duration, 1.0),
     Option(_BOUNDS, 'grace', duration, DEFAULT_GRACE_S),
-    Option(_BOUNDS, 'retry_ratio', positive, DEFAULT_RETRY_RATIO),
-    Option(_BOUNDS, 'retry_extra', positive, DEFAULT_RETRY_EXTRA),
+    Option(_BOUNDS, 'retry_ratio', positive_float, DEFAULT_RETRY_RATIO),
+    Option(_BOUNDS, 'retry_extra', positive_float, DEFAULT_RETRY_EXTRA),
     Option(_BOUNDS, 'retry_window', duration, DEFAULT_RETRY_WINDOW_S),
-    Option(_BOUNDS, 'cold_over', positive, DEFAULT_COLD_OVER),
-    Option(_BOUNDS, 'cold_slack', positive, DEFAULT_COLD_SLACK),
-    Option(_BOUNDS, 'max_shift', positive, DEFAULT_MAX_SHIFT),
+    Option(_BOUNDS, 'cold_over', positive_float, DEFAULT_COLD_OVER),
+    Option(_BOUNDS, 'cold_slack', positive_float, DEFAULT_COLD_SLACK),
+    Option(_BOUNDS, 'max_shift', positive_float, DEFAULT_MAX_SHIFT),
     Option(_BOUNDS, 'limit_window', duration, DEFAULT_TERMS.window_s),
-    Option(_BOUNDS, 'limit_over', not_negative, DEFAULT_TERMS.over),
-    Option(_BOUNDS, 'limit_slack', not_negative, DEFAULT_TERMS.slack),
-    Option('log', 'level', choice('DEBUG', 'INFO', 'WARNING', 'ERROR'), 'INFO'),
+    Option(_BOUNDS, 'limit_over', non_negative_float, DEFAULT_TERMS.over),
+    Option(_BOUNDS, 'limit_slack', non_negative_float, DEFAULT_TERMS.slack),
+    Option('log', 'level', one_of('DEBUG', 'INFO', 'WARNING', 'ERROR'), 'INFO'),
 )
 
 
--- a/packages/node/src/plantainloft_node/entry/terms.py
+++ b/packages/node/src/plantainloft_node/entry/terms.py
@@ -9,8 +9,8 @@
 from plantainloft_node.placing.placement import PlacementTerms
 
 __all__ = [
-    'TICK_S',
-    'limit_terms',
+    'UPDATE_INTERVAL_S',
+    'limit_parameters',
     'local_member',
     'placement_terms',
     'retry_terms',
@@ -19,7 +19,7 @@
 
 # Interval at which state that changes with time (ejections, shares of regions) is
 # updated.
-TICK_S = 0.25
+UPDATE_INTERVAL_S = 0.25
 MS_PER_S = 1000.0
 # Shifts of traffic are measured between successive windows of this length. Of the
 # permitted shift, planned moves may use PLANNED_SHARE, and the decrease of
@@ -38,7 +38,7 @@
         instance=settings.name,
         cold_over=settings.cold_over,
         cold_slack=settings.cold_slack,
-        shift_step=settings.max_shift * PLANNED_SHARE * TICK_S / SHIFT_WINDOW_S,
+        shift_step=settings.max_shift * PLANNED_SHARE * UPDATE_INTERVAL_S / SHIFT_WINDOW_S,
         spill_step=settings.max_shift * SPILLED_SHARE,
         shift_window_s=SHIFT_WINDOW_S,
     )
@@ -53,7 +53,7 @@
     )
 
 
-def limit_terms(settings: EntrySettings) -> LimitTerms:
+def limit_parameters(settings: EntrySettings) -> LimitTerms:
     """Return how the request limits of organisations are enforced."""
     return LimitTerms(
         window_s=settings.limit_window_s,
--- a/packages/node/src/plantainloft_node/entry/upkeep.py
+++ b/packages/node/src/plantainloft_node/entry/upkeep.py
@@ -4,7 +4,7 @@
 
 from plantainloft_node.entry.observing import Observation
 from plantainloft_node.entry.serving import RequestPipeline
-from plantainloft_node.entry.terms import TICK_S
+from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
 from plantainloft_node.fleet.demand import (
     demand_of_zones,
     fleet_size,
@@ -40,14 +40,14 @@
         while True:
             self.update(anyio.current_time())
             await self._pool.keep_only(self._observation.book.incarnations())
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(UPDATE_INTERVAL_S)
 
     def update(self, now: float) -> None:
         """Update everything that depends on the current time."""
         self._observation.beliefs.tick(now)
         self._placement.update_instances(self._members.sharing(now))
         self._placement.update_ejections(now)
-        self._demand.tick(TICK_S)
+        self._demand.tick(UPDATE_INTERVAL_S)
         self._crashes.forget_old(now)
         zones = demand_of_zones(self._members, self._demand.rate_by_service, now)
         demand = [RegionDemand(zone.region, zone.rate_by_service) for zone in zones]
--- a/packages/node/src/plantainloft_node/follower.py
+++ b/packages/node/src/plantainloft_node/follower.py
@@ -15,9 +15,9 @@
 
 import anyio
 
-from plantainloft_core.model import EMPTY, Configuration, parse_configuration
+from plantainloft_core.model import EMPTY_CONFIGURATION, Configuration, parse_configuration
 from plantainloft_core.outcomes import Invalid, Unreachable
-from plantainloft_core.patching import apply_change
+from plantainloft_core.patching import apply_committed_patch
 from plantainloft_core.table_client import TableClient
 from plantainloft_core.versions import Change, Snapshot, read_head
 from plantainloft_node.sources import ConfigSource, TableConfigSource
@@ -44,7 +44,7 @@
     def __init__(
         self, *, client: TableClient, poll_s: float, node_count: Callable[[], int]
     ) -> None:
-        self.config: Configuration = EMPTY
+        self.config: Configuration = EMPTY_CONFIGURATION
         self.document: dict[str, Any] = {}
         self.on_config_change: Callable[[], None] = _ignore_change
         self._client = client
@@ -120,7 +120,7 @@
         if head <= self.config.version:
             return True
         if self.config.version and head - self.config.version <= MAX_RETAINED_CHANGES:
-            changes = await source.changes(after=self.config.version, upto=head)
+            changes = await source.changes(after=self.config.version, up_to=head)
             if not isinstance(changes, Unreachable | Invalid):
                 self._apply_changes(changes)
             if self.config.version >= head:
@@ -143,7 +143,7 @@
                 continue
             if change.number != self.config.version + 1:
                 return
-            patched = apply_change(self.document, self.config, change.patch)
+            patched = apply_committed_patch(self.document, self.config, change.patch)
             if isinstance(patched, Invalid):
                 log.error('Config: the change to version %s cannot be applied.', change.number)
                 return
--- a/packages/node/src/plantainloft_node/forwarding.py
+++ b/packages/node/src/plantainloft_node/forwarding.py
@@ -18,11 +18,11 @@
 from plantainloft_core.model import Configuration, Endpoint
 from plantainloft_core.organisations import Organisation
 from plantainloft_core.outcomes import Quarantined, Refused, Served, Unknown
-from plantainloft_node.deciding import Decider
+from plantainloft_node.deciding import EndpointSelector
 from plantainloft_node.engine.attempts import Failed, NotSent
 from plantainloft_node.engine.endpoint_link import OutgoingRequest
 from plantainloft_node.engine.whole_answers import LinkClient, WholeAnswer
-from plantainloft_node.loads import LoadBook
+from plantainloft_node.loads import EndpointLoadTracker
 from plantainloft_node.quarantine.crash_checks import CrashChecks, EndpointRun
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint, fingerprint_of
 from plantainloft_node.quarantine.quarantine import Quarantine, ShutOut
@@ -71,17 +71,17 @@
 
 
 class Forwarder:
-    """Sends each request to the endpoint that the decider chooses."""
+    """Sends each request to the endpoint that the selector chooses."""
 
     def __init__(
         self,
         *,
-        decider: Decider,
-        loads: LoadBook,
+        endpoint_selector: EndpointSelector,
+        loads: EndpointLoadTracker,
         quarantine: Quarantine,
     ) -> None:
         self._client = LinkClient()
-        self._decider = decider
+        self._endpoint_selector = endpoint_selector
         self._loads = loads
         self.quarantine = quarantine
         self.crash_checks = CrashChecks(on_crash=quarantine.note_crash)
@@ -98,21 +98,30 @@
     async def forward(self, config: Configuration, request: Request) -> Served | Refused | Unknown:
         """Send ``request`` to an endpoint, trying another if it did not run."""
         refusal: Refused | None = None
-        tried: list[Endpoint] = []
-        homes = request.organisation.regions if request.organisation else frozenset()
+        tried_endpoints: list[Endpoint] = []
+        allowed_regions = request.organisation.regions if request.organisation else frozenset()
         for _ in range(MAX_ATTEMPTS):
-            choice = self._decider.decide(config, request.service, tried=tried, homes=homes)
+            choice = self._endpoint_selector.select(
+                config,
+                request.service,
+                tried_endpoints=tried_endpoints,
+                allowed_regions=allowed_regions,
+            )
             if isinstance(choice, Refused):
                 return refusal or choice
-            tried.append(choice.endpoint)
-            outcome = await self._send(choice.endpoint.name, choice.endpoint.address, request)
+            tried_endpoints.append(choice.endpoint)
+            outcome = await self._send_to_endpoint(
+                choice.endpoint.name, choice.endpoint.address, request
+            )
             if not isinstance(outcome, Refused):
                 return outcome
-            self._decider.record_rejection(choice.endpoint)
+            self._endpoint_selector.record_rejection(choice.endpoint)
             refusal = outcome
         return refusal or Refused(reason='not tried', retry_after_s=1)
 
-    async def _send(self, name: str, address: str, request: Request) -> Served | Refused | Unknown:
+    async def _send_to_endpoint(
+        self, name: str, address: str, request: Request
+    ) -> Served | Refused | Unknown:
         remaining = request.deadline - time.time()
         if remaining <= 0:
             return Refused(reason='deadline passed', retry_after_s=1)
--- a/packages/node/src/plantainloft_node/handling.py
+++ b/packages/node/src/plantainloft_node/handling.py
@@ -14,7 +14,7 @@
 from plantainloft_node.admission import AdmissionControl
 from plantainloft_node.config import NodeSettings
 from plantainloft_node.forwarding import Forwarder, Request
-from plantainloft_node.idempotency import Claim, IdempotencyLedger
+from plantainloft_node.idempotency import IdempotencyStore, KeyClaim
 from plantainloft_node.limits.limiter import RequestLimiter
 from plantainloft_node.limits.peer_uses import PeerUses
 
@@ -27,10 +27,14 @@
     """Runs the stages of the pipeline for each request."""
 
     def __init__(
-        self, *, admission: AdmissionControl, ledger: IdempotencyLedger, forwarder: Forwarder
+        self,
+        *,
+        admission: AdmissionControl,
+        idempotency_store: IdempotencyStore,
+        forwarder: Forwarder,
     ) -> None:
         self.admission = admission
-        self._ledger = ledger
+        self._idempotency_store = idempotency_store
         self._forwarder = forwarder
 
     async def handle(
@@ -55,14 +59,14 @@
             return quarantined
         if idempotency_key is None:
             return await self._forwarder.forward(config, request)
-        claim = await self._ledger.claim(request.service, idempotency_key)
-        if not isinstance(claim, Claim):
+        claim = await self._idempotency_store.claim(request.service, idempotency_key)
+        if not isinstance(claim, KeyClaim):
             return claim
         outcome = await self._forwarder.forward(config, request)
         if isinstance(outcome, Served):
-            self._ledger.record(claim, outcome)
+            self._idempotency_store.record(claim, outcome)
         elif isinstance(outcome, Refused):
-            await self._ledger.release(claim)
+            await self._idempotency_store.release(claim)
         return outcome
 
 
@@ -75,9 +79,9 @@
     forwarder: Forwarder,
 ) -> RequestHandler:
     """Build the request pipeline of the instance that ``settings`` describe."""
-    limiter = RequestLimiter(me=settings.name, terms=settings.limit_terms)
+    limiter = RequestLimiter(me=settings.name, terms=settings.limit_parameters)
     return RequestHandler(
         admission=AdmissionControl(limiter=limiter, peer_uses=peer_uses),
-        ledger=IdempotencyLedger(client=client, batcher=batcher, node=settings.name),
+        idempotency_store=IdempotencyStore(client=client, batcher=batcher, node=settings.name),
         forwarder=forwarder,
     )
--- a/packages/node/src/plantainloft_node/idempotency.py
+++ b/packages/node/src/plantainloft_node/idempotency.py
@@ -17,10 +17,10 @@
 import anyio
 
 from plantainloft_core.outcomes import Refused, Served, Unknown, Unreachable
-from plantainloft_core.table_client import LostAnswer, Row, TableClient, TxnConflict
+from plantainloft_core.table_client import LostResponse, TableClient, TableRow, TxnConflict
 from plantainloft_core.txn_batching import TxnBatcher, TxnOutcome
 
-__all__ = ['Claim', 'IdempotencyLedger']
+__all__ = ['IdempotencyStore', 'KeyClaim']
 
 RETRY_AFTER_S = 1
 OUTCOME_READS = 4
@@ -30,14 +30,14 @@
 _DONE = 'done'
 
 
-class Claim(NamedTuple):
+class KeyClaim(NamedTuple):
     """A claim held by this node: the key and version of its row."""
 
     key: str
     version: int
 
 
-class IdempotencyLedger:
+class IdempotencyStore:
     """Claims idempotency keys and records the outcomes of their requests."""
 
     def __init__(self, *, client: TableClient, batcher: TxnBatcher, node: str) -> None:
@@ -45,19 +45,19 @@
         self._batcher = batcher
         self._node = node
 
-    async def claim(self, service: str, key: str) -> Claim | Served | Unknown | Refused:
+    async def claim(self, service: str, key: str) -> KeyClaim | Served | Unknown | Refused:
         """Claim ``key``; otherwise return the earlier outcome or a refusal."""
         row_key = f'idem/{service}/{key}'
         claimed = await self._insert(row_key, version=0)
-        if not isinstance(claimed, Row):
+        if not isinstance(claimed, TableRow):
             return claimed
         if claimed.value['state'] == _RELEASED:
             claimed = await self._insert(row_key, version=claimed.version)
-        if isinstance(claimed, Row):
+        if isinstance(claimed, TableRow):
             return await self._await_outcome(claimed)
         return claimed
 
-    def record(self, claim: Claim, served: Served) -> None:
+    def record(self, claim: KeyClaim, served: Served) -> None:
         """Store the answer, so that a retry gets it instead of running again."""
         # The caller's answer does not wait for this write. If the write is lost,
         # the claim stays open and retries get Unknown: at-most-once still holds,
@@ -68,9 +68,11 @@
             'body': served.body.decode(errors='replace'),
             'endpoint': served.endpoint,
         }
-        self._batcher.post(conditions={claim.key: claim.version}, writes={claim.key: value})
+        self._batcher.submit_nowait(
+            conditions={claim.key: claim.version}, writes={claim.key: value}
+        )
 
-    async def release(self, claim: Claim) -> None:
+    async def release(self, claim: KeyClaim) -> None:
         """Release the claim of a request that did not run, so that a retry may claim it.
 
         Otherwise a refused booking could never be made: the caller is told to
@@ -79,20 +81,20 @@
         """
         await self._write_release(claim.key, version=claim.version)
 
-    async def _insert(self, row_key: str, *, version: int) -> Claim | Refused | Row:
+    async def _insert(self, row_key: str, *, version: int) -> KeyClaim | Refused | TableRow:
         """Claim the row if it is at ``version``; return the row if it is taken."""
         claim_id = uuid.uuid4().hex
         value = {'state': _STARTED, 'node': self._node, 'claim_id': claim_id}
         outcome = await self._batcher.submit(conditions={row_key: version}, writes={row_key: value})
-        if isinstance(outcome, Unreachable) and not isinstance(outcome, LostAnswer):
+        if isinstance(outcome, Unreachable) and not isinstance(outcome, LostResponse):
             return _not_run('idempotency ledger unreachable')
-        if not isinstance(outcome, TxnConflict | LostAnswer):
-            return Claim(key=row_key, version=outcome.versions_by_key[row_key])
+        if not isinstance(outcome, TxnConflict | LostResponse):
+            return KeyClaim(key=row_key, version=outcome.versions_by_key[row_key])
         return await self._resolve_claim(row_key, version=version, claim_id=claim_id)
 
     async def _resolve_claim(
         self, row_key: str, *, version: int, claim_id: str
-    ) -> Claim | Refused | Row:
+    ) -> KeyClaim | Refused | TableRow:
         """Read the row after a conflict or a lost answer; return our claim if it succeeded."""
         row = await self._client.get(row_key)
         if not isinstance(row, Unreachable) and _version_of(row) == version:
@@ -108,7 +110,7 @@
         if row is None or isinstance(row, Unreachable):
             return _not_run('idempotency ledger unreachable')
         if row.value.get('claim_id') == claim_id:
-            return Claim(key=row_key, version=row.version)
+            return KeyClaim(key=row_key, version=row.version)
         return row
 
     async def _write_release(self, row_key: str, *, version: int) -> TxnOutcome:
@@ -117,24 +119,24 @@
             conditions={row_key: version}, writes={row_key: {'state': _RELEASED}}
         )
 
-    async def _await_outcome(self, row: Row) -> Served | Unknown | Refused:
+    async def _await_outcome(self, row: TableRow) -> Served | Unknown | Refused:
         """Return the outcome that another claimant recorded, waiting briefly for it."""
-        current: Row | Unreachable | None = row
+        current: TableRow | Unreachable | None = row
         for _ in range(OUTCOME_READS):
-            if isinstance(current, Row) and current.value['state'] == _DONE:
+            if isinstance(current, TableRow) and current.value['state'] == _DONE:
                 return Served(
                     status=current.value['status'],
                     body=current.value['body'].encode(),
                     endpoint=current.value['endpoint'],
                 )
-            if isinstance(current, Row) and current.value['state'] == _RELEASED:
+            if isinstance(current, TableRow) and current.value['state'] == _RELEASED:
                 return _not_run('released by another attempt')
             await anyio.sleep(OUTCOME_READ_INTERVAL_S)
             current = await self._client.get(row.key)
         return Unknown(reason='same key in flight or outcome unknown')
 
 
-def _version_of(row: Row | None) -> int:
+def _version_of(row: TableRow | None) -> int:
     return 0 if row is None else row.version
 
 
--- a/packages/node/src/plantainloft_node/ini_schema.py
+++ b/packages/node/src/plantainloft_node/ini_schema.py
@@ -10,7 +10,15 @@
 
 from plantainloft_core.outcomes import Invalid
 
-__all__ = ['Option', 'addresses', 'check', 'choice', 'not_negative', 'positive', 'read_ini']
+__all__ = [
+    'Option',
+    'check',
+    'host_port_list',
+    'non_negative_float',
+    'one_of',
+    'positive_float',
+    'read_ini',
+]
 
 REQUIRED = object()
 
@@ -24,7 +32,7 @@
     default: Any = REQUIRED
 
 
-def positive(raw: str) -> float:
+def positive_float(raw: str) -> float:
     """Convert to a number greater than zero."""
     number = float(raw)
     if number <= 0:
@@ -32,7 +40,7 @@
     return number
 
 
-def not_negative(raw: str) -> float:
+def non_negative_float(raw: str) -> float:
     """Convert to a number that is zero or more."""
     number = float(raw)
     if number < 0:
@@ -40,7 +48,7 @@
     return number
 
 
-def addresses(raw: str) -> tuple[str, ...]:
+def host_port_list(raw: str) -> tuple[str, ...]:
     """Convert a comma-separated list of ``host:port``."""
     found = tuple(part.strip() for part in raw.split(',') if part.strip())
     for address in found:
@@ -50,7 +58,7 @@
     return found
 
 
-def choice(*allowed: str) -> Callable[[str], str]:
+def one_of(*allowed: str) -> Callable[[str], str]:
     """Return a converter that accepts only the ``allowed`` values."""
 
     def convert(raw: str) -> str:
--- a/packages/node/src/plantainloft_node/limits/limiter.py
+++ b/packages/node/src/plantainloft_node/limits/limiter.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from plantainloft_core.organisations import Organisation, OrganisationBook, RequestLimit
+from plantainloft_core.organisations import Organisation, OrganisationIndex, RateLimit
 from plantainloft_node.limits.shares import (
     FleetSize,
     LimitState,
@@ -52,10 +52,10 @@
     over: float
     slack: float
 
-    def allowance(self, limit: RequestLimit) -> float:
+    def allowance(self, limit: RateLimit) -> float:
         """Return the number of requests per window that are divided among instances."""
-        in_window = limit.in_window(self.window_s)
-        return in_window * (1 + self.over * TOLERANCE_FRACTION) + self.slack * TOLERANCE_FRACTION
+        max_requests = limit.max_requests(self.window_s)
+        return max_requests * (1 + self.over * TOLERANCE_FRACTION) + self.slack * TOLERANCE_FRACTION
 
 
 DEFAULT_TERMS = LimitTerms(window_s=DEFAULT_WINDOW_S, over=DEFAULT_OVER, slack=DEFAULT_SLACK)
@@ -83,7 +83,7 @@
     window.
     """
 
-    limit: RequestLimit
+    limit: RateLimit
     share: float
     used: int
     wanted: int
@@ -177,12 +177,12 @@
         for counters in self._counters_by_name.values():
             counters.sample_wanted(now)
 
-    def keep_only(self, organisations: OrganisationBook) -> None:
+    def keep_only(self, organisations: OrganisationIndex) -> None:
         """Remove the counters of organisations that are no longer declared."""
         for name in self._counters_by_name.keys() - organisations.by_name.keys():
             self._counters_by_name.pop(name)
 
-    def usage(self, organisations: OrganisationBook, now: float) -> dict[str, Usage]:
+    def usage(self, organisations: OrganisationIndex, now: float) -> dict[str, Usage]:
         """Return the use of each organisation that has a limit."""
         usage_by_name = {}
         for name, organisation in organisations.by_name.items():
@@ -199,7 +199,7 @@
             )
         return usage_by_name
 
-    def _share(self, name: str, limit: RequestLimit, counters: '_Counters', now: float) -> float:
+    def _share(self, name: str, limit: RateLimit, counters: '_Counters', now: float) -> float:
         state = LimitState(
             allowance=self.terms.allowance(limit),
             wanted=counters.reported_wanted(),
--- a/packages/node/src/plantainloft_node/limits/listing.py
+++ b/packages/node/src/plantainloft_node/limits/listing.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import TypedDict
 
-from plantainloft_core.organisations import Organisation, OrganisationBook
+from plantainloft_core.organisations import Organisation, OrganisationIndex
 from plantainloft_node.limits.limiter import Usage
 
 __all__ = ['ListedOrganisation', 'list_organisations']
@@ -32,7 +32,7 @@
 
 
 def list_organisations(
-    organisations: OrganisationBook, usage_by_name: Mapping[str, Usage]
+    organisations: OrganisationIndex, usage_by_name: Mapping[str, Usage]
 ) -> list[ListedOrganisation]:
     """Return all organisations, sorted by name."""
     return [
--- a/packages/node/src/plantainloft_node/loads.py
+++ b/packages/node/src/plantainloft_node/loads.py
@@ -11,9 +11,15 @@
 from anyio.abc import TaskGroup
 
 from plantainloft_core.model import Configuration, Endpoint
-from plantainloft_core.steering import WARMUP_S, EndpointLoad, headroom, is_known, usable_slots
+from plantainloft_core.steering import (
+    SLOW_START_S,
+    EndpointLoad,
+    free_slots,
+    has_fresh_report,
+    usable_slots,
+)
 
-__all__ = ['LoadBook', 'region_headroom']
+__all__ = ['EndpointLoadTracker', 'region_headroom']
 
 log = logging.getLogger(__name__)
 
@@ -21,7 +27,7 @@
 _OK = 200
 
 
-class LoadBook:
+class EndpointLoadTracker:
     """Tracks the load of each endpoint as seen by this node."""
 
     def __init__(self, *, http: httpx.AsyncClient, poll_s: float) -> None:
@@ -52,7 +58,7 @@
         # Endpoints in the first version this node saw are already warm. If a
         # restarted node ramped them up, it would refuse most traffic for its first
         # seconds ('no headroom' refusals although every endpoint is idle).
-        start = now - WARMUP_S if config.version == self._first_version else now
+        start = now - SLOW_START_S if config.version == self._first_version else now
         loads = {}
         for endpoint in config.endpoints_by_service.get(service, ()):
             name = endpoint.name
@@ -62,7 +68,7 @@
                 local_inflight=self.own_inflight_by_endpoint.get(name, 0),
                 reported_inflight=None if report is None else report[0],
                 report_age_s=0.0 if report is None else now - report[1],
-                known_for_s=now - first_seen,
+                in_service_s=now - first_seen,
                 draining=name in self.draining,
             )
         return loads
@@ -148,7 +154,7 @@
             self.draining.discard(name)
 
 
-def region_headroom(config: Configuration, loads: LoadBook) -> dict[str, float]:
+def region_headroom(config: Configuration, loads: EndpointLoadTracker) -> dict[str, float]:
     """Return the free share (0..1) of usable slots in each region.
 
     Endpoints whose load is unknown count as having no free slots.
@@ -160,6 +166,6 @@
         for endpoint in endpoints:
             load = load_by_endpoint[endpoint.name]
             slots[endpoint.region] += usable_slots(endpoint, load)
-            if is_known(load):
-                free[endpoint.region] += max(0.0, headroom(endpoint, load))
+            if has_fresh_report(load):
+                free[endpoint.region] += max(0.0, free_slots(endpoint, load))
     return {name: round(free[name] / total, 3) for name, total in slots.items() if total}
--- a/packages/node/src/plantainloft_node/membership.py
+++ b/packages/node/src/plantainloft_node/membership.py
@@ -2,7 +2,7 @@
 
 Each node writes a row ``members/{name}`` when it starts, when it leaves and
 occasionally in between. The rows only tell a starting node which peers to contact.
-Liveness is decided by the roster's probes within a second or two and without the
+Liveness is decided by the probes of the membership list within a second or two and without the
 table, so a killed instance is removed from look-ups also while the table service is
 down.
 """
@@ -14,10 +14,10 @@
 
 from plantainloft_core.lookup import Member
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.roster import MemberEvent, Status
+from plantainloft_core.roster import MembershipStatus, MemberUpdate
 from plantainloft_core.table_client import TableClient
-from plantainloft_node.peering import GossipService, Links
-from plantainloft_node.peering.messages import unpack_events
+from plantainloft_node.peering import GossipService, PeerConnections
+from plantainloft_node.peering.messages import unpack_updates
 
 __all__ = ['Membership']
 
@@ -30,21 +30,21 @@
 
 
 class Membership:
-    """Adds this node to the rosters of its peers, and removes it on shutdown."""
+    """Adds this node to the membership lists of its peers, and removes it on shutdown."""
 
     def __init__(
         self,
         *,
         client: TableClient,
         gossip: GossipService,
-        links: Links,
+        peer_connections: PeerConnections,
         seeds: tuple[str, ...],
         lease_s: float,
         leave_s: float,
     ) -> None:
         self._client = client
         self._gossip = gossip
-        self._links = links
+        self._peer_connections = peer_connections
         self._seeds = seeds
         self._lease_s = lease_s
         self._leave_s = leave_s
@@ -66,9 +66,9 @@
         requests. The announcement reaches every peer in the next gossip rounds; after
         ``leave_s`` no look-up returns this node.
         """
-        self._gossip.roster.leave()
+        self._gossip.membership_list.announce_leaving()
         self._gossip.wake()
-        log.info('Membership: %s is leaving.', self._gossip.roster.me.name)
+        log.info('Membership: %s is leaving.', self._gossip.membership_list.local_member.name)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._write_row)
             await anyio.sleep(self._leave_s)
@@ -76,23 +76,23 @@
 
     async def _write_row(self) -> None:
         row = {
-            'member': self._gossip.roster.me._asdict(),
+            'member': self._gossip.membership_list.local_member._asdict(),
             'expires_at': time.time() + self._lease_s,
         }
-        key = MEMBER_ROW_PREFIX + self._gossip.roster.me.name
-        await self._client.txn(conditions={}, writes={key: row})
+        key = MEMBER_ROW_PREFIX + self._gossip.membership_list.local_member.name
+        await self._client.commit_transaction(conditions={}, writes={key: row})
 
     async def _read_rows(self) -> bool:
         rows = await self._client.scan(MEMBER_ROW_PREFIX)
         if isinstance(rows, Unreachable):
             return False
         now = time.time()
-        events = [
-            MemberEvent(member=Member(**row.value['member']), status=Status.ALIVE)
+        updates = [
+            MemberUpdate(member=Member(**row.value['member']), status=MembershipStatus.ALIVE)
             for row in rows
             if row.value['expires_at'] > now
         ]
-        self._gossip.roster.merge(events, time.monotonic())
+        self._gossip.membership_list.apply_updates(updates, time.monotonic())
         return True
 
     async def _fetch_roster_from_seeds(self) -> bool:
@@ -100,8 +100,12 @@
         # an outage gets the members from a seed peer of its settings; otherwise its
         # look-ups would return only the node itself.
         for address in self._seeds:
-            raw_events = await self._links.call(address, 'roster', None, timeout_s=JOIN_TIMEOUT_S)
-            if not isinstance(raw_events, Unreachable):
-                self._gossip.roster.merge(unpack_events(raw_events), time.monotonic())
+            raw_updates = await self._peer_connections.call(
+                address, 'roster', None, timeout_s=JOIN_TIMEOUT_S
+            )
+            if not isinstance(raw_updates, Unreachable):
+                self._gossip.membership_list.apply_updates(
+                    unpack_updates(raw_updates), time.monotonic()
+                )
                 return True
         return False
--- a/packages/node/src/plantainloft_node/node.py
+++ b/packages/node/src/plantainloft_node/node.py
@@ -1,6 +1,6 @@
 """One entry instance: the components of a node and how they are connected.
 
-The follower tracks the configuration and the load book tracks endpoint loads. The
+The follower tracks the configuration and the load tracker tracks endpoint loads. The
 handler admits requests, claims the idempotency keys of non-idempotent ones, and
 passes them to the forwarder, which chooses an endpoint and sends them.
 """
@@ -12,21 +12,32 @@
 import httpx
 from anyio.abc import TaskStatus
 
-from plantainloft_core.allowances import ClaimBook
+from plantainloft_core.allowances import CapacityClaims
 from plantainloft_core.lookup import LookupIndex, Member
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.roster import Roster
+from plantainloft_core.roster import MembershipList
 from plantainloft_core.table_client import TableClient
 from plantainloft_core.txn_batching import TxnBatcher
 from plantainloft_node.config import NodeSettings
-from plantainloft_node.deciding import TICK_S, Decider, NearestDecider, SplitDecider
+from plantainloft_node.deciding import (
+    UPDATE_INTERVAL_S,
+    EndpointSelector,
+    NearestZoneSelector,
+    TrafficSplitSelector,
+)
 from plantainloft_node.follower import ConfigFollower
 from plantainloft_node.forwarding import Forwarder, Request
 from plantainloft_node.handling import Outcome, build_request_handler
-from plantainloft_node.loads import LoadBook, region_headroom
+from plantainloft_node.loads import EndpointLoadTracker, region_headroom
 from plantainloft_node.membership import Membership
 from plantainloft_node.node_quarantine import build_node_quarantine
-from plantainloft_node.peering import GossipService, Handler, Links, Traffic, serve_peers
+from plantainloft_node.peering import (
+    FrameHandler,
+    GossipService,
+    PeerConnections,
+    PeerTrafficCounter,
+    serve_peers,
+)
 from plantainloft_node.sources import PeerConfigSource
 from plantainloft_node.stats import ServiceStatsRegistry
 
@@ -50,10 +61,14 @@
     )
 
 
-def _make_decider(settings: NodeSettings, *, loads: LoadBook, claims: ClaimBook) -> Decider:
+def _make_endpoint_selector(
+    settings: NodeSettings, *, loads: EndpointLoadTracker, claims: CapacityClaims
+) -> EndpointSelector:
     if settings.policy == 'nearest':
-        return NearestDecider(loads=loads, zone=settings.zone)
-    return SplitDecider(loads=loads, claims=claims, region=settings.region, zone=settings.zone)
+        return NearestZoneSelector(loads=loads, zone=settings.zone)
+    return TrafficSplitSelector(
+        loads=loads, claims=claims, region=settings.region, zone=settings.zone
+    )
 
 
 class Node:
@@ -65,30 +80,32 @@
         settings: NodeSettings,
         http: httpx.AsyncClient,
         table: TableClient,
-        links: Links,
-        traffic: Traffic,
+        peer_connections: PeerConnections,
+        peer_traffic: PeerTrafficCounter,
     ) -> None:
         self.settings = settings
-        self.traffic = traffic
-        self._links = links
+        self.peer_traffic = peer_traffic
+        self._peer_connections = peer_connections
         self.stats = ServiceStatsRegistry()
-        self.roster = Roster(me=_local_member(settings), suspect_s=SUSPICION_TIMEOUT_S)
+        self.membership_list = MembershipList(
+            local_member=_local_member(settings), suspicion_timeout_s=SUSPICION_TIMEOUT_S
+        )
         self.follower = ConfigFollower(
             client=table,
             poll_s=settings.config_poll_s,
-            node_count=lambda: len(self.roster.live()),
+            node_count=lambda: len(self.membership_list.live_members()),
         )
-        claims = ClaimBook(home=settings.region)
+        claims = CapacityClaims(home_region=settings.region)
         self._quarantine = build_node_quarantine(
-            client=table, roster=self.roster, spread=lambda: self.gossip.wake()
+            client=table, membership_list=self.membership_list, spread=lambda: self.gossip.wake()
         )
         self.gossip = GossipService(
-            roster=self.roster,
+            membership_list=self.membership_list,
             claims=claims,
-            links=links,
+            peer_connections=peer_connections,
             current_version=lambda: self.follower.config.version,
             on_newer_version=lambda version, address: self.follower.note_available_version(
-                version, PeerConfigSource(links=links, address=address)
+                version, PeerConfigSource(peer_connections=peer_connections, address=address)
             ),
             crashes=self._quarantine.book,
             uses=lambda now: self.handler.admission.limiter.uses(now),
@@ -97,18 +114,18 @@
         self.membership = Membership(
             client=table,
             gossip=self.gossip,
-            links=links,
+            peer_connections=peer_connections,
             seeds=settings.peer_seeds,
             lease_s=settings.membership_lease_s,
             leave_s=settings.leave_s,
         )
-        self.loads = LoadBook(http=http, poll_s=settings.load_poll_s)
-        self.batcher = TxnBatcher(client=table, pace_s=settings.claim_pace_s)
+        self.loads = EndpointLoadTracker(http=http, poll_s=settings.load_poll_s)
+        self.batcher = TxnBatcher(client=table, min_interval_s=settings.claim_pace_s)
         self._index_versions = (-1, -1)
         self._index = LookupIndex(config=self.follower.config, members=[])
-        self.decider = _make_decider(settings, loads=self.loads, claims=claims)
+        self.endpoint_selector = _make_endpoint_selector(settings, loads=self.loads, claims=claims)
         self.forwarder = Forwarder(
-            decider=self.decider,
+            endpoint_selector=self.endpoint_selector,
             loads=self.loads,
             quarantine=self._quarantine,
         )
@@ -122,9 +139,9 @@
 
     async def listen(self, *, task_status: TaskStatus[None]) -> None:
         """Serve calls from peers."""
-        handler_by_kind: dict[str, Handler] = {
+        handler_by_kind: dict[str, FrameHandler] = {
             'beat': self.gossip.handle_heartbeat,
-            'roster': self.gossip.handle_roster,
+            'roster': self.gossip.handle_membership_list,
             'splits': self.handle_splits,
             'changes': self.follower.handle_changes,
             'snapshot': self.follower.handle_snapshot,
@@ -132,7 +149,7 @@
         await serve_peers(
             self.settings.peer_listen,
             handler_by_kind,
-            traffic=self.traffic,
+            peer_traffic=self.peer_traffic,
             task_status=task_status,
         )
 
@@ -143,16 +160,16 @@
         to the region that is being drained.
         """
         with anyio.move_on_after(ADOPTION_TIMEOUT_S):
-            while len(self.roster.live()) == 1 or not self.follower.config.version:
+            while len(self.membership_list.live_members()) == 1 or not self.follower.config.version:
                 await anyio.sleep(ADOPTION_POLL_INTERVAL_S)
         config = self.follower.config
-        for peer in self.roster.live()[1:]:
+        for peer in self.membership_list.live_members()[1:]:
             if config.region_of_zone(peer.zone) == self.settings.region:
-                shares = await self._links.call(
+                shares = await self._peer_connections.call(
                     peer.peer_address, 'splits', None, timeout_s=ADOPTION_TIMEOUT_S
                 )
                 if not isinstance(shares, Unreachable):
-                    self.decider.adopt_shares(shares)
+                    self.endpoint_selector.adopt_shares(shares)
                     return
 
     async def run_crash_detection(self) -> None:
@@ -166,23 +183,25 @@
         await self.loads.run(lambda: self.follower.config, home_region=self.settings.region)
 
     async def tick(self) -> None:
-        """Update the decider and the admission control periodically."""
+        """Update the endpoint selector and the admission control periodically."""
         await self.adopt_splits()
         while True:
-            live = [member.name for member in self.roster.live()[1:]]
-            self.decider.tick(self.follower.config, live_peers=live)
-            self.handler.admission.tick(self.follower.config, self.roster.live())
-            await anyio.sleep(TICK_S)
+            live = [member.name for member in self.membership_list.live_members()[1:]]
+            self.endpoint_selector.update(self.follower.config, live_peers=live)
+            self.handler.admission.tick(self.follower.config, self.membership_list.live_members())
+            await anyio.sleep(UPDATE_INTERVAL_S)
 
     async def handle_splits(self, content: object) -> dict[str, dict[str, float]]:
         """Return this node's current traffic splits to a peer."""
-        return self.decider.shares()
+        return self.endpoint_selector.shares()
 
     def lookup_index(self) -> LookupIndex:
         """Return the look-up index for the current configuration and members."""
-        key = (self.follower.config.version, self.roster.generation)
+        key = (self.follower.config.version, self.membership_list.revision)
         if self._index_versions != key:
-            self._index = LookupIndex(config=self.follower.config, members=self.roster.live())
+            self._index = LookupIndex(
+                config=self.follower.config, members=self.membership_list.live_members()
+            )
             self._index_versions = key
         return self._index
 
--- a/packages/node/src/plantainloft_node/node_quarantine.py
+++ b/packages/node/src/plantainloft_node/node_quarantine.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.roster import Roster
-from plantainloft_core.table_client import Row, TableClient, TxnConflict
+from plantainloft_core.roster import MembershipList
+from plantainloft_core.table_client import TableClient, TableRow, TxnConflict
 from plantainloft_node.quarantine.crash_book import CrashBook
 from plantainloft_node.quarantine.quarantine import Quarantine
 from plantainloft_node.quarantine.records import Outdated, QuarantineStore, StoredRecord
@@ -32,7 +32,9 @@
 
     async def write(self, key: str, packed: bytes) -> Unreachable | None:
         """Write a row unconditionally."""
-        outcome = await self._client.txn(conditions={}, writes={KEY_PREFIX + key: packed.hex()})
+        outcome = await self._client.commit_transaction(
+            conditions={}, writes={KEY_PREFIX + key: packed.hex()}
+        )
         return outcome if isinstance(outcome, Unreachable) else None
 
     async def replace(self, row: StoredRecord, packed: bytes) -> Outdated | Unreachable | None:
@@ -46,25 +48,27 @@
 
     async def _replace_value(self, row: StoredRecord, value: str) -> Outdated | Unreachable | None:
         key = KEY_PREFIX + row.key
-        outcome = await self._client.txn(conditions={key: row.version}, writes={key: value})
+        outcome = await self._client.commit_transaction(
+            conditions={key: row.version}, writes={key: value}
+        )
         if isinstance(outcome, TxnConflict):
             return Outdated()
         return outcome if isinstance(outcome, Unreachable) else None
 
 
 def build_node_quarantine(
-    *, client: TableClient, roster: Roster, spread: Callable[[], None]
+    *, client: TableClient, membership_list: MembershipList, spread: Callable[[], None]
 ) -> Quarantine:
     """Return a node's quarantine, which loads its records when it is run."""
     return Quarantine(
         book=CrashBook(),
         store=TableQuarantineStore(client=client),
-        is_alone=lambda: len(roster.live()) == 1,
+        is_alone=lambda: len(membership_list.live_members()) == 1,
         spread=spread,
     )
 
 
-def _to_record(row: Row) -> StoredRecord:
+def _to_record(row: TableRow) -> StoredRecord:
     return StoredRecord(row.key.removeprefix(KEY_PREFIX), row.version, _decode_hex(row.value))
 
 
--- a/packages/node/src/plantainloft_node/peering/mesh.py
+++ b/packages/node/src/plantainloft_node/peering/mesh.py
@@ -13,17 +13,22 @@
 
 import anyio
 
-from plantainloft_core.allowances import ClaimBook
+from plantainloft_core.allowances import CapacityClaims
 from plantainloft_core.lookup import Member
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.roster import Roster
+from plantainloft_core.roster import MembershipList
 from plantainloft_node.limits.peer_uses import PeerUses
 from plantainloft_node.limits.uses import OrganisationUse, pack_uses, unpack_uses
-from plantainloft_node.peering.messages import Heartbeat, pack_events, unpack_events, unpack_member
+from plantainloft_node.peering.messages import (
+    Heartbeat,
+    pack_updates,
+    unpack_member,
+    unpack_updates,
+)
 from plantainloft_node.quarantine.crash_book import CrashBook
 from plantainloft_node.quarantine.crash_codec import pack_crashes, unpack_crashes
 from plantainloft_node.quarantine.crashes import CrashReport
-from plantainloft_node.streams.links import Links
+from plantainloft_node.streams.links import PeerConnections
 
 __all__ = ['GossipService']
 
@@ -40,18 +45,18 @@
     def __init__(
         self,
         *,
-        roster: Roster,
-        claims: ClaimBook,
-        links: Links,
+        membership_list: MembershipList,
+        claims: CapacityClaims,
+        peer_connections: PeerConnections,
         current_version: Callable[[], int],
         on_newer_version: Callable[[int, str], None],
         crashes: CrashBook,
         uses: Callable[[float], Mapping[int, OrganisationUse]],
     ) -> None:
         """``uses`` returns the usage of organisations' limits on this node."""
-        self.roster = roster
+        self.membership_list = membership_list
         self._claims = claims
-        self._links = links
+        self._peer_connections = peer_connections
         self._current_version = current_version
         self._on_newer_version = on_newer_version
         self._crashes = crashes
@@ -72,7 +77,7 @@
         """
         async with anyio.create_task_group() as tasks:
             while True:
-                self.roster.expire(time.monotonic())
+                self.membership_list.expire_suspects(time.monotonic())
                 for member in self._next_targets():
                     tasks.start_soon(self._probe, member)
                 with anyio.move_on_after(ROUND_INTERVAL_S):
@@ -84,21 +89,21 @@
         """Process a peer's heartbeat and return this node's own."""
         sender = unpack_member(heartbeat['sender'])
         self._process_heartbeat(sender, heartbeat)
-        return self._build_heartbeat(to=sender.name)
+        return self._build_heartbeat(receiver=sender.name)
 
-    async def handle_roster(self, content: object) -> list[object]:
+    async def handle_membership_list(self, content: object) -> list[object]:
         """Return the state of every member this node knows."""
-        return pack_events(self.roster.everyone())
+        return pack_updates(self.membership_list.all_updates())
 
     def _log_changes(self) -> None:
-        for event in self.roster.take_changes():
-            leaving = ', leaving' if event.member.leaving else ''
+        for update in self.membership_list.take_status_changes():
+            leaving = ', leaving' if update.member.leaving else ''
             log.info(
-                'Membership: %s is %s%s.', event.member.name, event.status.name.lower(), leaving
+                'Membership: %s is %s%s.', update.member.name, update.status.name.lower(), leaving
             )
 
     def _next_targets(self) -> list[Member]:
-        targets = self.roster.targets(FANOUT)
+        targets = self.membership_list.next_probe_targets(FANOUT)
         return [member for member in targets if member.name not in self._probing]
 
     async def _probe(self, member: Member) -> None:
@@ -110,42 +115,42 @@
             answer = await self._exchange_heartbeats(member)
         self._probing.discard(member.name)
         if isinstance(answer, Unreachable):
-            self.roster.miss(member.name, time.monotonic())
+            self.membership_list.record_probe_failure(member.name, time.monotonic())
 
     async def _exchange_heartbeats(self, member: Member) -> Heartbeat | Unreachable:
         revision = self._claims.revision
-        answer: Heartbeat | Unreachable = await self._links.call(
+        answer: Heartbeat | Unreachable = await self._peer_connections.call(
             member.peer_address,
             'beat',
-            self._build_heartbeat(to=member.name),
+            self._build_heartbeat(receiver=member.name),
             timeout_s=HEARTBEAT_TIMEOUT_S,
         )
         if not isinstance(answer, Unreachable):
             self._process_heartbeat(unpack_member(answer['sender']), answer)
-            self._claims.confirm(member.name, revision)
+            self._claims.record_confirmation(member.name, revision)
         return answer
 
     def _process_heartbeat(self, sender: Member, heartbeat: Heartbeat) -> None:
         now = time.monotonic()
-        generation_before = self.roster.generation
-        if sender.name != self.roster.me.name:
-            self.roster.hear(sender, now)
-        self.roster.merge(unpack_events(heartbeat['events']), now)
-        self._claims.hear(sender.name, heartbeat['claims'], now)
+        revision_before = self.membership_list.revision
+        if sender.name != self.membership_list.local_member.name:
+            self.membership_list.record_contact(sender, now)
+        self.membership_list.apply_updates(unpack_updates(heartbeat['events']), now)
+        self._claims.record_peer_claims(sender.name, heartbeat['claims'], now)
         if heartbeat['version'] > self._current_version():
             self._on_newer_version(heartbeat['version'], sender.peer_address)
-        if sender.name != self.roster.me.name:
+        if sender.name != self.membership_list.local_member.name:
             self.peer_uses.put(sender.name, _unpack_uses_of(heartbeat), now)
         new_crashes = self._crashes.merge(_unpack_crashes_of(heartbeat), now)
-        if self.roster.generation != generation_before or new_crashes:
+        if self.membership_list.revision != revision_before or new_crashes:
             self.wake()
 
-    def _build_heartbeat(self, *, to: str) -> Heartbeat:
+    def _build_heartbeat(self, *, receiver: str) -> Heartbeat:
         return Heartbeat(
-            sender=list(self.roster.me),
+            sender=list(self.membership_list.local_member),
             version=self._current_version(),
-            claims=self._claims.extra_by_region,
-            events=pack_events(self.roster.news(to=to)),
+            claims=self._claims.claimed_by_region,
+            events=pack_updates(self.membership_list.updates_for(receiver=receiver)),
             crashes=pack_crashes(self._crashes.reports(time.monotonic())),
             uses=pack_uses(self._uses(time.monotonic())),
         )
--- a/packages/node/src/plantainloft_node/peering/messages.py
+++ b/packages/node/src/plantainloft_node/peering/messages.py
@@ -3,13 +3,13 @@
 from typing import Any, TypedDict
 
 from plantainloft_core.lookup import Member
-from plantainloft_core.roster import MemberEvent, Status
+from plantainloft_core.roster import MembershipStatus, MemberUpdate
 
 __all__ = [
     'Heartbeat',
-    'pack_events',
-    'unpack_events',
+    'pack_updates',
     'unpack_member',
+    'unpack_updates',
 ]
 
 
@@ -30,9 +30,9 @@
     uses: bytes
 
 
-def pack_events(events: list[MemberEvent]) -> list[Any]:
-    """Encode ``events`` as plain lists for a frame."""
-    return [[list(event.member), int(event.status)] for event in events]
+def pack_updates(updates: list[MemberUpdate]) -> list[Any]:
+    """Encode ``updates`` as plain lists for a frame."""
+    return [[list(update.member), int(update.status)] for update in updates]
 
 
 def unpack_member(raw: list[Any]) -> Member:
@@ -40,8 +40,9 @@
     return Member(*raw)
 
 
-def unpack_events(raw: list[Any]) -> list[MemberEvent]:
-    """Decode member events from ``raw``."""
+def unpack_updates(raw: list[Any]) -> list[MemberUpdate]:
+    """Decode member updates from ``raw``."""
     return [
-        MemberEvent(member=unpack_member(member), status=Status(status)) for member, status in raw
+        MemberUpdate(member=unpack_member(member), status=MembershipStatus(status))
+        for member, status in raw
     ]
--- a/packages/node/src/plantainloft_node/placing/placement.py
+++ b/packages/node/src/plantainloft_node/placing/placement.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from plantainloft_core.routes import Route, ServiceSpec
+from plantainloft_core.routes import Route, ServiceLimits
 from plantainloft_node.placing.affinity import score
 from plantainloft_node.placing.choosing import (
     NoCapacity,
@@ -69,10 +69,10 @@
         self._spill_fall = SpillFall(window_s=terms.shift_window_s)
 
     def choose(
-        self, request: PlacementRequest, spec: ServiceSpec, now: float
+        self, request: PlacementRequest, service_limits: ServiceLimits, now: float
     ) -> Selection | NoCapacity:
         """Return the endpoint for ``request``, or that none has capacity."""
-        near, far = self._candidates(request, spec, now)
+        near, far = self._candidates(request, service_limits, now)
         if not near and not far:
             return NoCapacity(reason='no endpoint is usable')
         ranked = [*near, *far]
@@ -137,7 +137,7 @@
             state.cold_limiter.note_sent(now)
 
     def _candidates(
-        self, request: PlacementRequest, spec: ServiceSpec, now: float
+        self, request: PlacementRequest, service_limits: ServiceLimits, now: float
     ) -> tuple[list[EndpointState], list[EndpointState]]:
         """Return the key's candidates in its region, and those elsewhere."""
         region = self._region(request)
@@ -150,7 +150,7 @@
             )
             if len(group) >= max_count or endpoint_id in request.tried:
                 continue
-            if self._is_eligible(state, request.route, spec, now):
+            if self._is_eligible(state, request.route, service_limits, now):
                 group.append(state)
         return near, far
 
@@ -175,7 +175,7 @@
         return slots
 
     def _is_eligible(
-        self, state: EndpointState, route: Route, spec: ServiceSpec, now: float
+        self, state: EndpointState, route: Route, service_limits: ServiceLimits, now: float
     ) -> bool:
         record = state.record
         if record.draining or record.zone in self._book.evacuated_zones:
@@ -186,12 +186,12 @@
         if not state.health.usable(now, include_failing=include_failing):
             return False
         return not state.is_cold(now) or state.cold_limiter.allows(
-            now, share=self._cold_share(state, spec)
+            now, share=self._cold_share(state, service_limits)
         )
 
-    def _cold_share(self, state: EndpointState, spec: ServiceSpec) -> int:
+    def _cold_share(self, state: EndpointState, service_limits: ServiceLimits) -> int:
         terms = self.terms
-        bound = spec.cold_rate * terms.cold_over + terms.cold_slack
+        bound = service_limits.cold_requests_per_s * terms.cold_over + terms.cold_slack
         known = self._cold_share_by_id.get((state.record.id, bound))
         if known is not None:
             return known
--- a/packages/node/src/plantainloft_node/placing/splitting.py
+++ b/packages/node/src/plantainloft_node/placing/splitting.py
@@ -4,7 +4,7 @@
 by accumulated credit keeps each prefix within one request of its weight.
 """
 
-from plantainloft_core.routes import ServiceShare
+from plantainloft_core.routes import WeightedService
 
 __all__ = ['SplitTurns']
 
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self._credit_by_service: dict[str, float] = {}
 
-    def next(self, shares: tuple[ServiceShare, ...]) -> str:
+    def next(self, shares: tuple[WeightedService, ...]) -> str:
         """Return the service that gets the next request."""
         if len(shares) == 1:
             return shares[0].service
--- a/packages/node/src/plantainloft_node/replica/beliefs.py
+++ b/packages/node/src/plantainloft_node/replica/beliefs.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 
 from plantainloft_core.outcomes import Invalid
-from plantainloft_core.routes import NO_ROUTES, RouteTable
+from plantainloft_core.routes import EMPTY_ROUTE_TABLE, RouteTable
 from plantainloft_node.placing.endpoints import EndpointBook
 from plantainloft_node.placing.pace import longest_wait_by_service
 from plantainloft_node.replica.news import (
@@ -41,7 +41,7 @@
         # its grace period.
         self._grace_until_by_id: dict[str, float] = {}
         self.store = StoreWatch()
-        self.table: RouteTable = NO_ROUTES
+        self.table: RouteTable = EMPTY_ROUTE_TABLE
         self.table_since = 0.0
 
     def take(self, rows: Iterable[NewsRow], now: float, *, source: str) -> None:
@@ -111,7 +111,7 @@
         changed = frozenset((change.zone,))
         zones = self._evacuated | changed if change.evacuated else self._evacuated - changed
         self._evacuated = zones
-        warmups = [spec.warmup_s for spec in self.table.services_by_name.values()]
+        warmups = [limits.warmup_s for limits in self.table.services_by_name.values()]
         warmup_s = max(warmups, default=DEFAULT_WARMUP_S)
         self._book.set_evacuated(zones, warmup_s=warmup_s, now=now)
 
--- a/packages/node/src/plantainloft_node/running.py
+++ b/packages/node/src/plantainloft_node/running.py
@@ -5,12 +5,12 @@
 import anyio
 import httpx
 
-from plantainloft_core.serving import serve_until_stopped
+from plantainloft_core.serving import serve_until_signal
 from plantainloft_core.table_client import TableClient
 from plantainloft_node.app import make_app
 from plantainloft_node.config import NodeSettings
 from plantainloft_node.node import Node
-from plantainloft_node.peering import Links, Traffic
+from plantainloft_node.peering import PeerConnections, PeerTrafficCounter
 
 __all__ = ['run_node']
 
@@ -25,13 +25,13 @@
     async with httpx.AsyncClient(limits=limits) as http:
         table = TableClient(base_url=settings.table_url, timeout_s=settings.table_timeout_s)
         async with anyio.create_task_group() as tasks:
-            traffic = Traffic()
+            peer_traffic = PeerTrafficCounter()
             node = Node(
                 settings=settings,
                 http=http,
                 table=table,
-                links=Links(tasks=tasks, traffic=traffic),
-                traffic=traffic,
+                peer_connections=PeerConnections(tasks=tasks, peer_traffic=peer_traffic),
+                peer_traffic=peer_traffic,
             )
             await tasks.start(node.listen)
             tasks.start_soon(node.follower.run)
@@ -48,13 +48,13 @@
                 # hypercorn's shutdown followed by the cancellation below let a
                 # CancelledError escape run_node on every graceful shutdown (a
                 # traceback and exit status 1).
-                await serve_until_stopped(
+                await serve_until_signal(
                     make_app(node),
                     bind=settings.listen,
                     grace_s=settings.grace_s,
                     on_stop=node.membership.leave,
                 )
-                await node.batcher.flush(within_s=settings.grace_s)
+                await node.batcher.flush(timeout_s=settings.grace_s)
                 tasks.cancel_scope.cancel()
 
             tasks.start_soon(serve_then_stop)
--- a/packages/node/src/plantainloft_node/streams/frames.py
+++ b/packages/node/src/plantainloft_node/streams/frames.py
@@ -6,7 +6,7 @@
 import msgpack
 from anyio.abc import ByteStream
 
-__all__ = ['REPLY', 'STREAM_ERRORS', 'Frame', 'FrameStream', 'Traffic']
+__all__ = ['REPLY', 'STREAM_ERRORS', 'Frame', 'FrameStream', 'PeerTrafficCounter']
 
 REPLY = 'reply'
 MAX_FRAME_BYTES = 64_000_000
@@ -28,7 +28,7 @@
     content: Any
 
 
-class Traffic:
+class PeerTrafficCounter:
     """Counts the bytes sent to and received from peers by this node."""
 
     def __init__(self) -> None:
@@ -39,8 +39,8 @@
 class FrameStream:
     """Sends and receives frames on one connection."""
 
-    def __init__(self, *, stream: ByteStream, traffic: Traffic) -> None:
-        self._traffic = traffic
+    def __init__(self, *, stream: ByteStream, peer_traffic: PeerTrafficCounter) -> None:
+        self._peer_traffic = peer_traffic
         self._stream = stream
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME_BYTES)
         self._send_lock = anyio.Lock()
@@ -52,7 +52,7 @@
         # both frames.
         async with self._send_lock:
             await self._stream.send(packed)
-        self._traffic.sent += len(packed)
+        self._peer_traffic.sent += len(packed)
 
     async def receive(self) -> Frame:
         """Return the next frame; raises anyio's stream errors."""
@@ -61,7 +61,7 @@
             if packed is not None:
                 return Frame(kind=packed[0], call=packed[1], content=packed[2])
             received = await self._stream.receive()
-            self._traffic.received += len(received)
+            self._peer_traffic.received += len(received)
             self._unpacker.feed(received)
 
     async def close(self) -> None:
--- a/packages/node/src/plantainloft_node/streams/links.py
+++ b/packages/node/src/plantainloft_node/streams/links.py
@@ -14,9 +14,9 @@
 from anyio.abc import TaskGroup
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.streams.frames import STREAM_ERRORS, Frame, FrameStream, Traffic
+from plantainloft_node.streams.frames import STREAM_ERRORS, Frame, FrameStream, PeerTrafficCounter
 
-__all__ = ['Links', 'PeerConnection']
+__all__ = ['PeerConnection', 'PeerConnections']
 
 log = logging.getLogger(__name__)
 
@@ -33,8 +33,8 @@
 class PeerConnection:
     """A connection to one peer, opened on demand and reopened after a failure."""
 
-    def __init__(self, *, address: str, tasks: TaskGroup, traffic: Traffic) -> None:
-        self._traffic = traffic
+    def __init__(self, *, address: str, tasks: TaskGroup, peer_traffic: PeerTrafficCounter) -> None:
+        self._peer_traffic = peer_traffic
         self._address = address
         self._tasks = tasks
         self._stream: FrameStream | None = None
@@ -77,7 +77,7 @@
             if self._stream is None:
                 host, _, port = self._address.rpartition(':')
                 tcp_stream = await anyio.connect_tcp(host, int(port))
-                self._stream = FrameStream(stream=tcp_stream, traffic=self._traffic)
+                self._stream = FrameStream(stream=tcp_stream, peer_traffic=self._peer_traffic)
                 self._tasks.start_soon(self._read_answers, self._stream)
             return self._stream
 
@@ -103,12 +103,12 @@
             await stream.close()
 
 
-class Links:
+class PeerConnections:
     """Connections by peer address; the least recently used ones are closed."""
 
-    def __init__(self, *, tasks: TaskGroup, traffic: Traffic) -> None:
+    def __init__(self, *, tasks: TaskGroup, peer_traffic: PeerTrafficCounter) -> None:
         self._tasks = tasks
-        self._traffic = traffic
+        self._peer_traffic = peer_traffic
         self._connection_by_address: dict[str, PeerConnection] = {}
 
     async def call(
@@ -117,7 +117,9 @@
         """Call the peer at ``address``."""
         connection = self._connection_by_address.pop(address, None)
         if connection is None:
-            connection = PeerConnection(address=address, tasks=self._tasks, traffic=self._traffic)
+            connection = PeerConnection(
+                address=address, tasks=self._tasks, peer_traffic=self._peer_traffic
+            )
         self._connection_by_address[address] = connection
         while len(self._connection_by_address) > MAX_PEER_CONNECTIONS:
             least_recent = next(iter(self._connection_by_address))
--- a/packages/node/src/plantainloft_node/streams/listener.py
+++ b/packages/node/src/plantainloft_node/streams/listener.py
@@ -11,13 +11,19 @@
 import anyio
 from anyio.abc import ByteStream, TaskStatus
 
-from plantainloft_node.streams.frames import REPLY, STREAM_ERRORS, Frame, FrameStream, Traffic
+from plantainloft_node.streams.frames import (
+    REPLY,
+    STREAM_ERRORS,
+    Frame,
+    FrameStream,
+    PeerTrafficCounter,
+)
 
-__all__ = ['Handler', 'serve_peers']
+__all__ = ['FrameHandler', 'serve_peers']
 
 log = logging.getLogger(__name__)
 
-Handler = Callable[[Any], Awaitable[Any]]
+FrameHandler = Callable[[Any], Awaitable[Any]]
 
 IDLE_TIMEOUT_S = 60.0
 _CONNECTION_END_ERRORS = (*STREAM_ERRORS, TimeoutError)
@@ -25,9 +31,9 @@
 
 async def serve_peers(
     bind: str,
-    handler_by_kind: Mapping[str, Handler],
+    handler_by_kind: Mapping[str, FrameHandler],
     *,
-    traffic: Traffic,
+    peer_traffic: PeerTrafficCounter,
     task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Listen on ``bind`` (``host:port``) and answer peers until cancelled."""
@@ -39,13 +45,15 @@
     async def serve_connection(tcp_stream: ByteStream) -> None:
         async with tcp_stream:
             await _serve_connection(
-                FrameStream(stream=tcp_stream, traffic=traffic), handler_by_kind
+                FrameStream(stream=tcp_stream, peer_traffic=peer_traffic), handler_by_kind
             )
 
     await listener.serve(serve_connection)
 
 
-async def _serve_connection(stream: FrameStream, handler_by_kind: Mapping[str, Handler]) -> None:
+async def _serve_connection(
+    stream: FrameStream, handler_by_kind: Mapping[str, FrameHandler]
+) -> None:
     async with anyio.create_task_group() as tasks:
         try:
             while True:
@@ -62,7 +70,7 @@
             tasks.cancel_scope.cancel()
 
 
-async def _handle_frame(stream: FrameStream, frame: Frame, handler: Handler) -> None:
+async def _handle_frame(stream: FrameStream, frame: Frame, handler: FrameHandler) -> None:
     content = await handler(frame['content'])
     try:
         await stream.send(Frame(kind=REPLY, call=frame['call'], content=content))
--- a/packages/standins/src/plantainloft_standins/__main__.py
+++ b/packages/standins/src/plantainloft_standins/__main__.py
@@ -8,7 +8,7 @@
 import anyio
 import cappa
 
-from plantainloft_core.serving import serve_until_stopped
+from plantainloft_core.serving import serve_until_signal
 from plantainloft_standins import endpoint, table
 from plantainloft_standins.demo import run_demo
 
@@ -65,7 +65,7 @@
 async def _serve(
     app: object, bind: str, on_stop: Callable[[], Awaitable[None]] | None = None
 ) -> None:
-    await serve_until_stopped(app, bind=bind, grace_s=SHUTDOWN_GRACE_S, on_stop=on_stop)
+    await serve_until_signal(app, bind=bind, grace_s=SHUTDOWN_GRACE_S, on_stop=on_stop)
 
 
 @dataclass(kw_only=True)
--- a/packages/standins/src/plantainloft_standins/cluster.py
+++ b/packages/standins/src/plantainloft_standins/cluster.py
@@ -22,7 +22,7 @@
 )
 from plantainloft_standins.launch import Processes, free_port
 
-__all__ = ['Cluster', 'bring_up']
+__all__ = ['Cluster', 'start_cluster']
 
 WAIT_TIMEOUT_S = 20.0
 POLL_INTERVAL_S = 0.05
@@ -77,7 +77,7 @@
         client = TableClient(base_url=table_url, timeout_s=TABLE_TIMEOUT_S)
         outcome = await commit_patch(
             client,
-            against=0,
+            base_version=0,
             patch=patch,
             author='bring-up',
             change_id='bring-up-1',
@@ -191,7 +191,7 @@
     )
 
 
-def bring_up(
+def start_cluster(
     deployment: Deployment,
     *,
     work_dir: Path,
--- a/packages/standins/src/plantainloft_standins/demo.py
+++ b/packages/standins/src/plantainloft_standins/demo.py
@@ -10,7 +10,7 @@
 from hdrh.histogram import HdrHistogram
 
 from plantainloft_ctl.burn import burn_rows, format_burn
-from plantainloft_standins.cluster import Cluster, bring_up
+from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import DEPLOYMENTS, Deployment
 from plantainloft_standins.traffic import Reply, send_requests
 
@@ -91,7 +91,7 @@
     deployment = DEPLOYMENTS[deployment_name]
     work_dir = Path(tempfile.mkdtemp(prefix='plantainloft-demo-'))
     log.info('Demo: starting the processes of %s, logs in %s.', deployment.name, work_dir)
-    cluster = bring_up(deployment, work_dir=work_dir, entries_per_zone=2)
+    cluster = start_cluster(deployment, work_dir=work_dir, entries_per_zone=2)
     try:
         replies, statuses = _send_traffic(cluster, deployment, count=count, concurrency=concurrency)
     finally:
--- a/packages/standins/src/plantainloft_standins/fleet_model.py
+++ b/packages/standins/src/plantainloft_standins/fleet_model.py
@@ -118,11 +118,11 @@
         *,
         shape: FleetShape,
         listed: bool = True,
-        limit_terms: LimitTerms = DEFAULT_TERMS,
+        limit_parameters: LimitTerms = DEFAULT_TERMS,
         share_rule: Callable[[], ShareRule] = SharesByDemand,
     ) -> None:
         """``listed``: whether an instance reads the list of instances when it starts."""
-        self._limit_terms = limit_terms
+        self._limit_parameters = limit_parameters
         self._share_rule = share_rule
         self.now = 0.0
         self.passes: LinkFilter = _allow_all
@@ -150,7 +150,7 @@
             me=me,
             seeds=_select_seeds(list(self._member_by_name.values())),
             seed=next(self._event_numbers),
-            limiter=RequestLimiter(me=name, terms=self._limit_terms, rule=self._share_rule()),
+            limiter=RequestLimiter(me=name, terms=self._limit_parameters, rule=self._share_rule()),
             clock=lambda: self.now,
         )
         if self._listed:
--- a/packages/standins/src/plantainloft_standins/launch.py
+++ b/packages/standins/src/plantainloft_standins/launch.py
@@ -71,7 +71,7 @@
             env=env,
         )
 
-    def spawn_again(self, name: str) -> None:
+    def respawn(self, name: str) -> None:
         """Start ``name``, which has exited, again with the same arguments; do not wait."""
         self.spawn(name, self._args_by_name[name])
 
--- a/packages/standins/src/plantainloft_standins/leaving_model.py
+++ b/packages/standins/src/plantainloft_standins/leaving_model.py
@@ -20,14 +20,14 @@
 from plantainloft_node.entry.polling import StoreDuty
 from plantainloft_node.entry.sharing import MEMBERS_CALL, NEWS_CALL, SMALL_NEWS_CALL, NewsSharing
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
-from plantainloft_node.entry.terms import TICK_S
+from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
 from plantainloft_node.fleet.beats import BEAT_S
 from plantainloft_node.fleet.intake import Intake
 from plantainloft_node.fleet.members import Beat, FleetMember, MemberBook
 from plantainloft_node.fleet.relaying import Message, Relaying
 from plantainloft_node.quarantine.crash_book import CrashBook
 from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS
-from plantainloft_node.streams.listener import Handler
+from plantainloft_node.streams.listener import FrameHandler
 from plantainloft_standins.store_model import ModelStore, Outage, StoreClient
 from plantainloft_standins.virtual_clock import run_in_virtual_time
 
@@ -103,7 +103,7 @@
     def __init__(self, *, scenario: LeavingScenario) -> None:
         self._scenario = scenario
         self.byte_s = scenario.byte_s
-        self.handler_by_call: dict[tuple[str, str], Handler] = {}
+        self.handler_by_call: dict[tuple[str, str], FrameHandler] = {}
         self.link_by_name: dict[str, anyio.Lock] = {}
 
     def one_way_s(self, sender: FleetMember, receiver: FleetMember) -> float:
@@ -320,7 +320,7 @@
 
     async def _tick(self) -> None:
         while True:
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(UPDATE_INTERVAL_S)
             now = anyio.current_time()
             for instance in self._instance_by_name.values():
                 instance.observation.beliefs.tick(now)
--- a/packages/standins/src/plantainloft_standins/limit_model.py
+++ b/packages/standins/src/plantainloft_standins/limit_model.py
@@ -11,8 +11,8 @@
 from functools import partial
 from typing import NamedTuple
 
-from plantainloft_core.organisations import Organisation, RequestLimit
-from plantainloft_node.entry.terms import TICK_S
+from plantainloft_core.organisations import Organisation, RateLimit
+from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
 from plantainloft_node.fleet.demand import fleet_size, has_fresh_uses, uses_of_fleet
 from plantainloft_standins.fleet_model import FleetModel, ModelInstance
 
@@ -103,12 +103,12 @@
         for instance in self.model.instance_by_name.values():
             if instance.runs:
                 _update_limiter(instance, self.model.now)
-        self.model.after(TICK_S, self._tick)
+        self.model.after(UPDATE_INTERVAL_S, self._tick)
 
 
 def model_organisation(name: str, *, rate: float, burst: float) -> Organisation:
     """Return an organisation with a request limit and no other settings."""
-    return Organisation(name, frozenset(), limit=RequestLimit(rate, burst))
+    return Organisation(name, frozenset(), limit=RateLimit(rate, burst))
 
 
 def _update_limiter(instance: ModelInstance, now: float) -> None:
--- a/packages/standins/src/plantainloft_standins/load_model.py
+++ b/packages/standins/src/plantainloft_standins/load_model.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from plantainloft_core.discovery import EndpointRecord
-from plantainloft_core.routes import Route, ServiceShare, ServiceSpec
+from plantainloft_core.routes import Route, ServiceLimits, WeightedService
 from plantainloft_node.placing.budget import Allowance, RetryBudget
 from plantainloft_node.placing.demand import DemandMeter, RegionDemand, demand_by_region
 from plantainloft_node.placing.endpoints import EndpointBook, EndpointState
@@ -36,14 +36,14 @@
 ]
 
 SERVICE = 'modelled'
-TICK_S = 0.25
+UPDATE_INTERVAL_S = 0.25
 # Requests are counted in bins of this length to compare any two adjacent windows.
 BIN_S = 0.5
 MAX_ATTEMPTS = 2
 RETRY_RATIO = 0.2
 RETRY_EXTRA = 64.0
 RETRY_WINDOW_S = 10.0
-COLD_RATE = 11.0
+COLD_REQUESTS_PER_S = 11.0
 CALLER_RETRY_DELAY_S = 0.3
 # Service times and retry delays vary uniformly between these multiples.
 SERVICE_TIME_SPREAD = (0.8, 1.2)
@@ -66,7 +66,7 @@
     name: str
     per_s: float
     cold_service_s: float
-    objective_s: float
+    latency_objective_s: float
     timeout_s: float
     priority: int
     value: float
@@ -251,7 +251,7 @@
         placement_request = PlacementRequest(
             route, SERVICE, request.key, frozenset(request.tried), remaining_s
         )
-        choice = self.placement.choose(placement_request, model.spec, model.now)
+        choice = self.placement.choose(placement_request, model.service_limits, model.now)
         if not isinstance(choice, Selection):
             model.refuse(request, self)
             return
@@ -317,7 +317,9 @@
             for region, count in scenario.endpoints_by_region.items()
             for number in range(count)
         }
-        self.spec = ServiceSpec(SERVICE, '/health', MAX_CONNECTIONS, WARMUP_S, COLD_RATE)
+        self.service_limits = ServiceLimits(
+            SERVICE, '/health', MAX_CONNECTIONS, WARMUP_S, COLD_REQUESTS_PER_S
+        )
         self.routes = {workload.name: _route(workload) for workload in scenario.workloads}
         self.stats_by_workload = {workload.name: WorkloadStats() for workload in scenario.workloads}
         self.instances = [
@@ -357,7 +359,7 @@
         request.is_finished = True
         stats = self.stats_by_workload[request.workload.name]
         elapsed_s = self.now - request.first_at
-        if served and elapsed_s <= request.workload.objective_s:
+        if served and elapsed_s <= request.workload.latency_objective_s:
             stats.within_objective += 1
         elif served:
             stats.late += 1
@@ -396,12 +398,12 @@
     def _tick(self) -> None:
         demands = []
         for instance in self.instances:
-            instance.meter.tick(TICK_S)
+            instance.meter.tick(UPDATE_INTERVAL_S)
             demands.append(RegionDemand(instance.region, instance.meter.rate_by_service))
         total = demand_by_region(demands)
         for instance in self.instances:
             instance.placement.update_regions(total)
-        self.schedule(TICK_S, self._tick)
+        self.schedule(UPDATE_INTERVAL_S, self._tick)
 
 
 def simulate(scenario: Scenario) -> LoadModel:
@@ -477,10 +479,10 @@
         prefix='/',
         idempotent=True,
         timeout_s=workload.timeout_s,
-        objective_s=workload.objective_s,
+        latency_objective_s=workload.latency_objective_s,
         max_attempts=MAX_ATTEMPTS,
         priority=workload.priority,
-        shares=(ServiceShare(SERVICE, 1.0),),
+        shares=(WeightedService(SERVICE, 1.0),),
         sticky=True,
         regions=frozenset(),
     )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
 )
 
 from plantainloft_core.table_client import TableClient
-from plantainloft_standins.cluster import Cluster, bring_up
+from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import DEPLOYMENTS, Deployment, ServicePlan
 from plantainloft_standins.table import TableService, make_app
 
@@ -53,7 +53,7 @@
 def karaduman(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
     """Run the karaduman deployment, shared by the tests of a module."""
     work_dir: Path = tmp_path_factory.mktemp('karaduman')
-    cluster = bring_up(DEPLOYMENTS['karaduman'], work_dir=work_dir)
+    cluster = start_cluster(DEPLOYMENTS['karaduman'], work_dir=work_dir)
     yield cluster
     cluster.processes.stop_all()
 
@@ -72,7 +72,7 @@
 
     Each endpoint takes 200 ms for a request.
     """
-    cluster = bring_up(TINY_DEPLOYMENT, work_dir=tmp_path)
+    cluster = start_cluster(TINY_DEPLOYMENT, work_dir=tmp_path)
     yield cluster
     cluster.processes.stop_all()
 
--- a/tests/entry_fixtures.py
+++ b/tests/entry_fixtures.py
@@ -12,13 +12,13 @@
 from anyio.abc import SocketStream
 
 from plantainloft_core.discovery import EndpointRecord
-from plantainloft_core.organisations import NO_ORGANISATIONS, OrganisationBook
+from plantainloft_core.organisations import NO_ORGANISATIONS, OrganisationIndex
 from plantainloft_core.routes import (
     CallerLimits,
     Route,
     RouteTable,
-    ServiceShare,
-    ServiceSpec,
+    ServiceLimits,
+    WeightedService,
     build_route_table,
 )
 from plantainloft_node.engine.callers import CallerConnection
@@ -49,10 +49,10 @@
         'prefix': prefix,
         'idempotent': idempotent,
         'timeout_s': 2.0,
-        'objective_s': 0.5,
+        'latency_objective_s': 0.5,
         'max_attempts': 2,
         'priority': 1,
-        'shares': (ServiceShare(SERVICE, 1.0),),
+        'shares': (WeightedService(SERVICE, 1.0),),
         'sticky': True,
         'regions': frozenset(),
     }
@@ -63,16 +63,20 @@
     *routes: Route,
     version: int = 1,
     limits: CallerLimits | None = None,
-    organisations: OrganisationBook = NO_ORGANISATIONS,
+    organisations: OrganisationIndex = NO_ORGANISATIONS,
 ) -> RouteTable:
     """Return a route table of ``routes`` with the service ``SERVICE`` only."""
-    spec = ServiceSpec(
-        name=SERVICE, health_path='/health', max_connections=100, warmup_s=3.0, cold_rate=11.0
+    service_limits = ServiceLimits(
+        name=SERVICE,
+        health_path='/health',
+        max_connections=100,
+        warmup_s=3.0,
+        cold_requests_per_s=11.0,
     )
     return build_route_table(
         version=version,
         routes=routes,
-        services=(spec,),
+        services=(service_limits,),
         limits=limits or CallerLimits(),
         organisations=organisations,
     )
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from plantainloft_core.allowances import CLAIM_LEASE_S, ClaimBook
+from plantainloft_core.allowances import CLAIM_LEASE_S, CapacityClaims
 from plantainloft_core.model import Configuration, Region, build_configuration
 
 NODES = 6
@@ -24,7 +24,7 @@
         },
         services_by_name={},
         endpoints_by_name={},
-        blocks_by_name={},
+        client_blocks_by_name={},
     )
 
 
@@ -41,19 +41,23 @@
         super().__init__()
         self.config = _config()
         self.now = 100.0
-        self.books = [ClaimBook(home=REGIONS[index % 2]) for index in range(NODES)]
+        self.all_claims = [CapacityClaims(home_region=REGIONS[index % 2]) for index in range(NODES)]
         self.partition_by_node = [0] * NODES
         self.paused: set[int] = set()
         self.last_heard: dict[tuple[int, int], float] = {}
 
     def _exchange(self, origin: int, other: int, *, answered: bool) -> None:
-        books = self.books
-        revision = books[origin].revision
-        books[other].hear(str(origin), dict(books[origin].extra_by_region), self.now)
+        all_claims = self.all_claims
+        revision = all_claims[origin].revision
+        all_claims[other].record_peer_claims(
+            str(origin), dict(all_claims[origin].claimed_by_region), self.now
+        )
         self.last_heard[other, origin] = self.now
         if answered:
-            books[origin].hear(str(other), dict(books[other].extra_by_region), self.now)
-            books[origin].confirm(str(other), revision)
+            all_claims[origin].record_peer_claims(
+                str(other), dict(all_claims[other].claimed_by_region), self.now
+            )
+            all_claims[origin].record_confirmation(str(other), revision)
             self.last_heard[origin, other] = self.now
 
     def _connected(self, one: int, other: int) -> bool:
@@ -95,9 +99,9 @@
     @rule(index=NODE_INDEXES, needed=st.sampled_from([0.0, 3.0, 15.0, 100.0]))
     def claim(self, index: int, needed: float) -> None:
         if index not in self.paused:
-            self.books[index].adjust(
+            self.all_claims[index].update_claims(
                 self.config,
-                needed_by_region=dict.fromkeys(REGIONS, needed),
+                demand_by_region=dict.fromkeys(REGIONS, needed),
                 live_peers=self._live_peers(index),
                 now=self.now,
             )
@@ -117,8 +121,10 @@
     @invariant()
     def claims_fit_region_capacity(self) -> None:
         for region in REGIONS:
-            allowed = [book.allowed(self.config, region, self.now) for book in self.books]
-            assert sum(allowed) <= CAPACITY + 1e-6
+            max_inflight = [
+                claims.max_inflight(self.config, region, self.now) for claims in self.all_claims
+            ]
+            assert sum(max_inflight) <= CAPACITY + 1e-6
 
 
 ClaimsStateMachine.TestCase.settings = settings(
@@ -129,19 +135,19 @@
 
 def test_busy_node_gets_most_of_the_unused_capacity() -> None:
     config = _config()
-    books = [ClaimBook(home=REGIONS[index % 2]) for index in range(NODES)]
+    all_claims = [CapacityClaims(home_region=REGIONS[index % 2]) for index in range(NODES)]
     now = 0.0
     for _ in range(30):
         now += 0.5
-        for index, book in enumerate(books):
-            for other, peer in enumerate(books):
+        for index, claims in enumerate(all_claims):
+            for other, peer in enumerate(all_claims):
                 if other != index:
-                    book.hear(str(other), dict(peer.extra_by_region), now)
-                    book.confirm(str(other), book.revision)
-            book.adjust(
+                    claims.record_peer_claims(str(other), dict(peer.claimed_by_region), now)
+                    claims.record_confirmation(str(other), claims.revision)
+            claims.update_claims(
                 config,
-                needed_by_region={'ankara': 100.0 if index == 0 else 0.0},
+                demand_by_region={'ankara': 100.0 if index == 0 else 0.0},
                 live_peers=[str(other) for other in range(NODES) if other != index],
                 now=now,
             )
-    assert books[0].allowed(config, 'ankara', now) > CAPACITY * 0.5
+    assert all_claims[0].max_inflight(config, 'ankara', now) > CAPACITY * 0.5
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -27,8 +27,8 @@
 )
 
 from plantainloft_ctl.commands.quarantine import Quarantine
-from plantainloft_ctl.explaining import story_of
-from plantainloft_standins.cluster import Cluster, bring_up
+from plantainloft_ctl.explaining import explain_request
+from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import Deployment, ServicePlan
 
 # From this long after the third crash on, the users allow at most three further
@@ -157,8 +157,8 @@
         await anyio.to_thread.run_sync(lift)
         await until(lambda: count_quarantined(handles[1]), 0)
         quarantined = [line for line in handles[0].lines() if line['kind'] == 'quarantined']
-        story = story_of(str(quarantined[-1]['request']), handles[0].lines())
-        assert any('crashes=' in line and str(listed['request']) in line for line in story)
+        timeline = explain_request(str(quarantined[-1]['request']), handles[0].lines())
+        assert any('crashes=' in line and str(listed['request']) in line for line in timeline)
 
 
 CRASHING_DEPLOYMENT = Deployment(
@@ -180,7 +180,7 @@
 
 @pytest.fixture
 def crashing_cluster(tmp_path: Path) -> Iterator[Cluster]:
-    cluster = bring_up(CRASHING_DEPLOYMENT, work_dir=tmp_path)
+    cluster = start_cluster(CRASHING_DEPLOYMENT, work_dir=tmp_path)
     yield cluster
     cluster.processes.stop_all()
 
@@ -205,7 +205,7 @@
                 self.crashes.append(now)
             elif now - self._down_since[name] > 1.0:
                 del self._down_since[name]
-                self._processes.spawn_again(name)
+                self._processes.respawn(name)
 
     def repeat(self, path: str, *, seconds: float) -> None:
         """Send a request repeatedly, to each instance in turn."""
--- a/tests/test_expecting.py
+++ b/tests/test_expecting.py
@@ -4,7 +4,7 @@
 from entry_fixtures import SERVICE, route
 
 from plantainloft_core.discovery import EndpointRecord
-from plantainloft_core.routes import ServiceSpec
+from plantainloft_core.routes import ServiceLimits
 from plantainloft_node.placing.endpoints import EndpointBook, EndpointState
 from plantainloft_node.placing.expecting import (
     MAX_RECENT_KEYS,
@@ -23,8 +23,8 @@
 KEY = '7'
 SLOTS = 4
 ROUND_TRIP_S = 0.11
-SPEC = ServiceSpec(
-    name=SERVICE, health_path='/health', max_connections=100, warmup_s=3.0, cold_rate=11.0
+SERVICE_LIMITS = ServiceLimits(
+    name=SERVICE, health_path='/health', max_connections=100, warmup_s=3.0, cold_requests_per_s=11.0
 )
 ROUTE = route(idempotent=True, prefix='/files/', priority=0)
 
@@ -79,7 +79,7 @@
 
 def chosen_id(placement: Placement) -> str:
     request = PlacementRequest(ROUTE, SERVICE, KEY, frozenset(), 2.0)
-    choice = placement.choose(request, SPEC, NOW)
+    choice = placement.choose(request, SERVICE_LIMITS, NOW)
     assert isinstance(choice, Selection)
     return choice.endpoint.record.id
 
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -2,7 +2,7 @@
 
 import json
 
-from plantainloft_ctl.explaining import parse_log_lines, story_of
+from plantainloft_ctl.explaining import explain_request, parse_log_lines
 from plantainloft_ctl.gauges import format_status_table, parse_status
 
 
@@ -26,7 +26,7 @@
             line(104.6, 'e2', 'answered', 'Front: request answered.', request='r2'),
         )
     )
-    timeline = story_of('r1', parse_log_lines([second, first]))
+    timeline = explain_request('r1', parse_log_lines([second, first]))
     assert len(timeline) == 3
     assert 'not followed' in timeline[0] and timeline[0].startswith(' ')
     assert 'reason=full' in timeline[1] and timeline[1].startswith('*')
@@ -34,7 +34,10 @@
 
 
 def test_a_request_without_log_lines_has_an_empty_timeline() -> None:
-    assert story_of('r9', parse_log_lines([line(1.0, 'e1', 'answered', 'x', request='r1')])) == []
+    assert (
+        explain_request('r9', parse_log_lines([line(1.0, 'e1', 'answered', 'x', request='r1')]))
+        == []
+    )
 
 
 METRICS = """plantainloft_configuration_version 3
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -39,11 +39,11 @@
     return looked_up
 
 
-def _commit(cluster: Cluster, *, against: int, patch: list[dict[str, object]]) -> object:
+def _commit(cluster: Cluster, *, base_version: int, patch: list[dict[str, object]]) -> object:
     async def commit() -> object:
         client = TableClient(base_url=cluster.table_url, timeout_s=2.0)
         outcome = await commit_patch(
-            client, against=against, patch=patch, author='t', change_id=f'c{against}'
+            client, base_version=base_version, patch=patch, author='t', change_id=f'c{base_version}'
         )
         await client.close()
         return outcome
@@ -129,7 +129,7 @@
     """
     drained = 'case-desk-ankara-a-0'
     patch = [{'op': 'add', 'path': f'/endpoints/{drained}/state', 'value': 'draining'}]
-    committed = _commit(tiny, against=1, patch=patch)
+    committed = _commit(tiny, base_version=1, patch=patch)
     started = time.monotonic()
     for url in tiny.entries_by_name.values():
         wait_for_version(url, 2)
@@ -187,12 +187,12 @@
     during = {
         'read': _call(entry, 'GET'),
         'booking': _call(entry, 'POST', key='booking-1'),
-        'commit': isinstance(_commit(tiny, against=1, patch=[]), Unreachable),
+        'commit': isinstance(_commit(tiny, base_version=1, patch=[]), Unreachable),
         'version': httpx.get(f'{entry}/v1/status').json()['version'],
     }
     _set_fault_mode(tiny, 'normal')
     patch = [{'op': 'replace', 'path': '/services/case-desk/slo_ms', 'value': 900}]
-    after = {'commit': _commit(tiny, against=1, patch=patch)}
+    after = {'commit': _commit(tiny, base_version=1, patch=patch)}
     for url in tiny.entries_by_name.values():
         wait_for_version(url, 2)
     after['booking'] = _call(entry, 'POST', key='booking-1')
@@ -210,7 +210,7 @@
     only source of configuration and of liveness.
     """
     patch = [{'op': 'replace', 'path': '/services/case-desk/slo_ms', 'value': 900}]
-    _commit(tiny, against=1, patch=patch)
+    _commit(tiny, base_version=1, patch=patch)
     for url in tiny.entries_by_name.values():
         wait_for_version(url, 2)
     _set_fault_mode(tiny, 'down')
@@ -267,7 +267,7 @@
 def test_commit_in_force_everywhere_without_revert(tiny: Cluster) -> None:
     outcome = _commit(
         tiny,
-        against=1,
+        base_version=1,
         patch=[{'op': 'replace', 'path': '/services/case-desk/slo_ms', 'value': 800}],
     )
     assert outcome == Committed(version=2)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -10,9 +10,9 @@
 from plantainloft_core.committing import commit_patch
 from plantainloft_core.model import Configuration, parse_configuration
 from plantainloft_core.outcomes import Committed, Invalid, Unreachable
-from plantainloft_core.patching import apply_change, apply_patch
+from plantainloft_core.patching import apply_committed_patch, apply_patch
 from plantainloft_core.table_client import TableClient
-from plantainloft_core.versions import SNAPSHOT_EVERY, Change, Snapshot, read_version
+from plantainloft_core.versions import VERSIONS_PER_SNAPSHOT, Change, Snapshot, read_version
 from plantainloft_node.follower import ConfigFollower
 from plantainloft_node.sources import ConfigSource
 from plantainloft_standins.faults import Faults
@@ -64,7 +64,7 @@
         self._changes = changes
         self._snapshot = snapshot
 
-    async def changes(self, *, after: int, upto: int) -> list[Change]:
+    async def changes(self, *, after: int, up_to: int) -> list[Change]:
         return self._changes
 
     async def snapshot(self, number: int) -> Snapshot:
@@ -77,7 +77,7 @@
     assert isinstance(config, Configuration)
     before = repr(DOCUMENT)
     fully_validated = apply_patch(DOCUMENT, patch, version=2)
-    incremental = apply_change(DOCUMENT, config, patch)
+    incremental = apply_committed_patch(DOCUMENT, config, patch)
     assert repr(DOCUMENT) == before
     if isinstance(fully_validated, Invalid):
         assert isinstance(incremental, Invalid)
@@ -85,9 +85,9 @@
         assert incremental == fully_validated
 
 
-async def _commit(client: TableClient, *, against: int, patch: list[dict[str, Any]]) -> object:
+async def _commit(client: TableClient, *, base_version: int, patch: list[dict[str, Any]]) -> object:
     return await commit_patch(
-        client, against=against, patch=patch, author='t', change_id=f'c{against}'
+        client, base_version=base_version, patch=patch, author='t', change_id=f'c{base_version}'
     )
 
 
@@ -102,9 +102,9 @@
     announces version 9 to a node at version 2, but returns the document of version 1
     and changes with a gap.
     """
-    assert await _commit(client, against=0, patch=INITIAL_PATCH) == Committed(version=1)
+    assert await _commit(client, base_version=0, patch=INITIAL_PATCH) == Committed(version=1)
     second = [{'op': 'add', 'path': '/client_blocks/b9', 'value': {'zone': 'ankara-b'}}]
-    assert await _commit(client, against=1, patch=second) == Committed(version=2)
+    assert await _commit(client, base_version=1, patch=second) == Committed(version=2)
     follower = _follower(client)
     await follower.poll_once()
     change_after_gap = Change(number=9, patch=second, author='x', change_id='x', committed_at=0)
@@ -113,7 +113,7 @@
     )
     await follower._fetch_announced()
     assert follower.config.version == 2
-    assert 'b9' in follower.config.blocks_by_name
+    assert 'b9' in follower.config.client_blocks_by_name
 
 
 async def test_node_takes_configuration_from_a_peer_while_the_table_is_down(
@@ -144,14 +144,16 @@
     It must read a snapshot if there is one, and work without it. There are 60 versions
     here with one snapshot at version 50, which the object store then loses.
     """
-    await _commit(client, against=0, patch=INITIAL_PATCH)
-    for number in range(1, SNAPSHOT_EVERY + 10):
+    await _commit(client, base_version=0, patch=INITIAL_PATCH)
+    for number in range(1, VERSIONS_PER_SNAPSHOT + 10):
         patch = [{'op': 'add', 'path': f'/client_blocks/n{number}', 'value': {'zone': 'ankara-a'}}]
-        assert await _commit(client, against=number, patch=patch) == Committed(version=number + 1)
+        assert await _commit(client, base_version=number, patch=patch) == Committed(
+            version=number + 1
+        )
     reads_before = table.reads
-    through_snapshot = await read_version(client, SNAPSHOT_EVERY + 10)
+    through_snapshot = await read_version(client, VERSIONS_PER_SNAPSHOT + 10)
     assert table.reads - reads_before == 11
     table.objects_by_key.clear()
-    replayed = await read_version(client, SNAPSHOT_EVERY + 10)
+    replayed = await read_version(client, VERSIONS_PER_SNAPSHOT + 10)
     assert not isinstance(replayed, Unreachable | Invalid)
     assert replayed == through_snapshot
--- a/tests/test_from_id_to_cause.py
+++ b/tests/test_from_id_to_cause.py
@@ -17,14 +17,14 @@
 )
 
 from plantainloft_core.organisations import digest_key
-from plantainloft_ctl.explaining import parse_log_lines, story_of
+from plantainloft_ctl.explaining import explain_request, parse_log_lines
 
 pytestmark = pytest.mark.anyio
 
 
 def timeline(deployment: EntryDeployment, request: str) -> list[str]:
     texts = [entry.log_path.read_text() for entry in deployment.entries]
-    return story_of(request, parse_log_lines(texts))
+    return explain_request(request, parse_log_lines(texts))
 
 
 def request_id_header(request: str) -> str:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -286,7 +286,7 @@
 
 
 async def test_request_heads_and_bodies_are_limited() -> None:
-    limits = CallerLimits(header_bytes=2000, body_bytes=10)
+    limits = CallerLimits(max_header_bytes=2000, max_body_bytes=10)
     table = table_of(route(idempotent=False, prefix='/notices/'), limits=limits)
     async with running_entry(echo, table=table) as (entry, (endpoint,)):
         assert status_of(await entry.ask(get(more=b'X-Long: ' + b'x' * 5000 + b'\r\n'))) == 431
@@ -504,7 +504,7 @@
             await conversation.stream.receive()
 
     table = table_of(
-        route(idempotent=False, prefix='/notices/'), limits=CallerLimits(body_bytes=200_000)
+        route(idempotent=False, prefix='/notices/'), limits=CallerLimits(max_body_bytes=200_000)
     )
     async with running_entry(read_forever, table=table) as (entry, _):
         assert status_of(await entry.ask(post(b'x' * 300_000))) == 413
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -74,7 +74,7 @@
                 }
             ]
             results.append(
-                await commit_patch(client, against=1, patch=patch, author=name, change_id=name)
+                await commit_patch(client, base_version=1, patch=patch, author=name, change_id=name)
             )
 
         async with anyio.create_task_group() as tasks:
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -8,11 +8,11 @@
 from entry_fixtures import Conversation, RawEndpoint
 
 from plantainloft_core.outcomes import Refused, Served, Unknown
-from plantainloft_core.table_client import LostAnswer, TableClient, TxnConflict, TxnDone
+from plantainloft_core.table_client import LostResponse, TableClient, TxnCommitted, TxnConflict
 from plantainloft_core.txn_batching import TxnBatcher
 from plantainloft_node.forwarding import Forwarder, Request
-from plantainloft_node.idempotency import Claim, IdempotencyLedger
-from plantainloft_node.loads import LoadBook
+from plantainloft_node.idempotency import IdempotencyStore, KeyClaim
+from plantainloft_node.loads import EndpointLoadTracker
 from plantainloft_node.quarantine.crash_book import CrashBook
 from plantainloft_node.quarantine.quarantine import Quarantine
 from plantainloft_standins.faults import Faults
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 async def batcher(client: TableClient) -> AsyncIterator[TxnBatcher]:
-    batcher = TxnBatcher(client=client, pace_s=0.01)
+    batcher = TxnBatcher(client=client, min_interval_s=0.01)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(batcher.run)
         yield batcher
@@ -35,24 +35,24 @@
 
 
 @pytest.fixture
-def ledger(client: TableClient, batcher: TxnBatcher) -> IdempotencyLedger:
-    return IdempotencyLedger(client=client, batcher=batcher, node='n1')
+def idempotency_store(client: TableClient, batcher: TxnBatcher) -> IdempotencyStore:
+    return IdempotencyStore(client=client, batcher=batcher, node='n1')
 
 
-async def test_refused_request_may_be_claimed_again(ledger: IdempotencyLedger) -> None:
+async def test_refused_request_may_be_claimed_again(idempotency_store: IdempotencyStore) -> None:
     """Failure: a booking that was refused as "did not run" can never be made.
 
     The node claims the key, has no capacity and refuses. If the claim stays open, the
     caller's retry with the same key never runs.
     """
-    claim = await ledger.claim('booking', 'k1')
-    assert isinstance(claim, Claim)
-    await ledger.release(claim)
-    assert isinstance(await ledger.claim('booking', 'k1'), Claim)
+    claim = await idempotency_store.claim('booking', 'k1')
+    assert isinstance(claim, KeyClaim)
+    await idempotency_store.release(claim)
+    assert isinstance(await idempotency_store.claim('booking', 'k1'), KeyClaim)
 
 
 async def test_superseded_claim_cannot_change_the_row(
-    ledger: IdempotencyLedger, batcher: TxnBatcher, table: TableService
+    idempotency_store: IdempotencyStore, batcher: TxnBatcher, table: TableService
 ) -> None:
     """Failure: a node that was paused overwrites the claim of another one.
 
@@ -60,18 +60,18 @@
     node resumes as if it still held the claim and records an answer. The record must
     be conditional on the version of the claim.
     """
-    superseded = await ledger.claim('booking', 'k1')
-    assert isinstance(superseded, Claim)
-    await ledger.release(superseded)
-    current = await ledger.claim('booking', 'k1')
-    assert isinstance(current, Claim) and current.version > superseded.version
-    ledger.record(superseded, ANSWER)
-    await batcher.flush(within_s=5)
+    superseded = await idempotency_store.claim('booking', 'k1')
+    assert isinstance(superseded, KeyClaim)
+    await idempotency_store.release(superseded)
+    current = await idempotency_store.claim('booking', 'k1')
+    assert isinstance(current, KeyClaim) and current.version > superseded.version
+    idempotency_store.record(superseded, ANSWER)
+    await batcher.flush(timeout_s=5)
     assert table.rows_by_key[ROW_KEY][1]['state'] == 'started'
 
 
 async def test_delayed_claim_write_fails_after_a_refusal(
-    client: TableClient, ledger: IdempotencyLedger, table: TableService
+    client: TableClient, idempotency_store: IdempotencyStore, table: TableService
 ) -> None:
     """Failure: the key of a refused booking stays claimed, its outcome unknown.
 
@@ -80,22 +80,24 @@
     row before it refuses, so that the delayed write fails.
     """
     delayed: list[dict[str, dict[str, object]]] = []
-    original_txn = client.txn
+    original_commit = client.commit_transaction
 
-    async def lose_first_answer(**txn: dict[str, object]) -> TxnDone | TxnConflict | LostAnswer:
+    async def lose_first_response(
+        **txn: dict[str, object],
+    ) -> TxnCommitted | TxnConflict | LostResponse:
         if not delayed:
             delayed.append(txn)
-            return LostAnswer(reason='cut')
-        return await original_txn(**txn)  # type: ignore[arg-type,return-value]
+            return LostResponse(reason='cut')
+        return await original_commit(**txn)  # type: ignore[arg-type,return-value]
 
-    client.txn = lose_first_answer  # type: ignore[assignment,method-assign]
-    assert isinstance(await ledger.claim('booking', 'k1'), Refused)
-    assert isinstance(await original_txn(**delayed[0]), TxnConflict)  # type: ignore[arg-type]
-    assert isinstance(await ledger.claim('booking', 'k1'), Claim)
+    client.commit_transaction = lose_first_response  # type: ignore[assignment,method-assign]
+    assert isinstance(await idempotency_store.claim('booking', 'k1'), Refused)
+    assert isinstance(await original_commit(**delayed[0]), TxnConflict)  # type: ignore[arg-type]
+    assert isinstance(await idempotency_store.claim('booking', 'k1'), KeyClaim)
 
 
 async def test_only_one_of_concurrent_claims_of_a_key_succeeds(
-    ledger: IdempotencyLedger, table: TableService
+    idempotency_store: IdempotencyStore, table: TableService
 ) -> None:
     """Failure: two retries of one booking in the same batch both run.
 
@@ -106,26 +108,26 @@
     outcomes: list[object] = []
 
     async def claim() -> None:
-        outcome = await ledger.claim('booking', 'k1')
-        if isinstance(outcome, Claim):
-            ledger.record(outcome, ANSWER)
+        outcome = await idempotency_store.claim('booking', 'k1')
+        if isinstance(outcome, KeyClaim):
+            idempotency_store.record(outcome, ANSWER)
         outcomes.append(outcome)
 
     async with anyio.create_task_group() as tasks:
         for _ in range(10):
             tasks.start_soon(claim)
-    assert sum(isinstance(outcome, Claim) for outcome in outcomes) == 1
-    assert all(isinstance(outcome, Claim | Served | Unknown) for outcome in outcomes)
+    assert sum(isinstance(outcome, KeyClaim) for outcome in outcomes) == 1
+    assert all(isinstance(outcome, KeyClaim | Served | Unknown) for outcome in outcomes)
 
 
 async def test_concurrent_claims_are_batched(
-    ledger: IdempotencyLedger, batcher: TxnBatcher, table: TableService
+    idempotency_store: IdempotencyStore, batcher: TxnBatcher, table: TableService
 ) -> None:
     async with anyio.create_task_group() as tasks:
         for index in range(80):
-            tasks.start_soon(ledger.claim, 'booking', f'key-{index}')
+            tasks.start_soon(idempotency_store.claim, 'booking', f'key-{index}')
     assert len(table.rows_by_key) == 80
-    assert batcher.sent <= 2
+    assert batcher.batches_sent <= 2
 
 
 @pytest.mark.parametrize(
@@ -151,7 +153,7 @@
     endpoint = RawEndpoint(script=answer_unavailable)
     async with httpx.AsyncClient() as http, anyio.create_task_group() as tasks:
         await tasks.start(lambda *, task_status: endpoint.run(task_status=task_status))
-        loads = LoadBook(http=http, poll_s=1)
+        loads = EndpointLoadTracker(http=http, poll_s=1)
         quarantine = Quarantine(
             book=CrashBook(),
             store=MemoryQuarantineStore(),
@@ -159,11 +161,11 @@
             spread=lambda: None,
         )
         forwarder = Forwarder(
-            decider=None,  # type: ignore[arg-type]
+            endpoint_selector=None,  # type: ignore[arg-type]
             loads=loads,
             quarantine=quarantine,
         )
         request = Request('booking', 'POST', 'x', {}, b'', deadline=4e9)
-        outcome = await forwarder._send('e0', f'http://{endpoint.address}', request)
+        outcome = await forwarder._send_to_endpoint('e0', f'http://{endpoint.address}', request)
         assert isinstance(outcome, kind)
         tasks.cancel_scope.cancel()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plantainloft_core.organisations import Organisation, RequestLimit, build_organisations
+from plantainloft_core.organisations import Organisation, RateLimit, build_organisation_index
 from plantainloft_node.fleet.demand import fleet_size
 from plantainloft_node.fleet.ranking import relays_in
 from plantainloft_node.limits.limiter import DEFAULT_TERMS, LimitTerms, RequestLimiter
@@ -20,7 +20,7 @@
 from plantainloft_standins.limit_model import CallerFlow, LimitPlay, model_organisation
 
 EXACT = LimitTerms(window_s=5.0, over=0.0, slack=0.0)
-TEN_PER_WINDOW = Organisation('desk', frozenset(), limit=RequestLimit(1.0, 5.0))
+TEN_PER_WINDOW = Organisation('desk', frozenset(), limit=RateLimit(1.0, 5.0))
 TWELVE_INSTANCES = FleetShape(instances=2)
 SIXTY_INSTANCES = FleetShape(instances=10)
 # Usual demand as a fraction of the limit.
@@ -75,7 +75,7 @@
 def test_a_lowered_limit_applies_at_once() -> None:
     limiter = single_limiter()
     assert count_admitted(limiter, 8, 1.0) == 8
-    lowered = TEN_PER_WINDOW._replace(limit=RequestLimit(0.4, 1.0))
+    lowered = TEN_PER_WINDOW._replace(limit=RateLimit(0.4, 1.0))
     assert limiter.admit(lowered, 1.1) is not None
     assert sum(limiter.admit(lowered, 6.1) is None for _ in range(9)) == 3
 
@@ -124,7 +124,7 @@
 def test_counters_of_an_organisation_that_is_no_longer_declared_are_removed() -> None:
     limiter = single_limiter()
     count_admitted(limiter, 3, 1.0)
-    limiter.keep_only(build_organisations([]))
+    limiter.keep_only(build_organisation_index([]))
     assert limiter.uses(1.0) == {}
 
 
@@ -167,7 +167,7 @@
 def max_in_window(organisation: Organisation) -> float:
     """Return the most requests that all instances may admit in a window, with tolerance."""
     assert organisation.limit is not None
-    limit = organisation.limit.in_window(DEFAULT_TERMS.window_s)
+    limit = organisation.limit.max_requests(DEFAULT_TERMS.window_s)
     return limit * (1 + DEFAULT_TERMS.over) + DEFAULT_TERMS.slack
 
 
@@ -279,7 +279,7 @@
     simulation.model.passes = lambda one, other: 'r0-z0-0' not in (one.name, other.name)
     simulation.run_for(2.0)
     assert fleet_size(isolated.members, simulation.model.now).reached == 1
-    usage = isolated.limiter.usage(build_organisations([LARGE]), simulation.model.now)['large']
+    usage = isolated.limiter.usage(build_organisation_index([LARGE]), simulation.model.now)['large']
     assert usage.share == pytest.approx(DEFAULT_TERMS.allowance(usage.limit) / 12)
 
 
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -10,15 +10,15 @@
 
 from plantainloft_core.organisations import (
     Organisation,
-    OrganisationBook,
-    build_organisations,
+    OrganisationIndex,
+    build_organisation_index,
     digest_key,
 )
 from plantainloft_core.outcomes import Invalid
 from plantainloft_core.routes import NO_REGIONS, RouteTable
 from plantainloft_node.replica.news import DECLARATIONS, NewsRow, RoutesDeclared
 from plantainloft_platform.documents import decode_row
-from plantainloft_platform.organisations import without_keys
+from plantainloft_platform.organisations import replace_keys_with_digests
 
 KEY = b'k-ankara-bar'
 KEY_HEADER = b'Api-Key: k-ankara-bar\r\n'
@@ -29,12 +29,12 @@
 
 def organisation_with_keys(
     *keys: bytes, name: str = 'ankara-bar', **terms: object
-) -> OrganisationBook:
+) -> OrganisationIndex:
     digests = frozenset(digest_key(key) for key in keys)
-    return build_organisations([Organisation(name, digests, **terms)])  # type: ignore[arg-type]
+    return build_organisation_index([Organisation(name, digests, **terms)])  # type: ignore[arg-type]
 
 
-def table_with_organisations(organisations: OrganisationBook, *, version: int = 1) -> RouteTable:
+def table_with_organisations(organisations: OrganisationIndex, *, version: int = 1) -> RouteTable:
     return table_of(FILES, NOTICES, PUBLIC, version=version, organisations=organisations)
 
 
@@ -139,16 +139,20 @@
 
 def test_regions_of_route_and_organisation_are_intersected() -> None:
     organisation = Organisation('ankara-bar', frozenset(), regions=frozenset(('ankara', 'izmir')))
-    assert FILES.on_terms_of(organisation).regions == {'ankara', 'izmir'}
+    assert FILES.with_organisation_settings(organisation).regions == {'ankara', 'izmir'}
     overlapping = FILES._replace(regions=frozenset(('izmir', 'istanbul')))
-    assert overlapping.on_terms_of(organisation).regions == {'izmir'}
+    assert overlapping.with_organisation_settings(organisation).regions == {'izmir'}
     disjoint = FILES._replace(regions=frozenset(('istanbul',)))
-    assert disjoint.on_terms_of(organisation).regions == NO_REGIONS
+    assert disjoint.with_organisation_settings(organisation).regions == NO_REGIONS
 
 
 def test_priority_of_an_organisation_overrides_that_of_the_route() -> None:
-    assert FILES.on_terms_of(Organisation('a', frozenset(), priority=0)).priority == 0
-    assert FILES.on_terms_of(Organisation('a', frozenset())).priority == FILES.priority
+    assert (
+        FILES.with_organisation_settings(Organisation('a', frozenset(), priority=0)).priority == 0
+    )
+    assert (
+        FILES.with_organisation_settings(Organisation('a', frozenset())).priority == FILES.priority
+    )
 
 
 @pytest.mark.anyio
@@ -177,30 +181,34 @@
 
 
 def test_stored_row_contains_only_key_digests() -> None:
-    stored = without_keys(document({'api_keys': ['k-secret'], 'rate_per_s': 5, 'burst': 2}))
+    stored = replace_keys_with_digests(
+        document({'api_keys': ['k-secret'], 'rate_per_s': 5, 'burst': 2})
+    )
     assert b'k-secret' not in stored
     declared = decode_row(config_row(stored))
     assert isinstance(declared, RoutesDeclared)
-    organisation = declared.table.organisations.holder_of(b'k-secret')
+    organisation = declared.table.organisations.find_by_key(b'k-secret')
     assert organisation is not None
     assert organisation.name == 't0'
     assert organisation.limit == (5.0, 2.0)
 
 
 def test_organisation_without_keys_is_parsed() -> None:
-    declared = decode_row(config_row(without_keys(document({'rate_per_s': 5}))))
+    declared = decode_row(config_row(replace_keys_with_digests(document({'rate_per_s': 5}))))
     assert isinstance(declared, RoutesDeclared)
-    assert declared.table.asks_for_keys
+    assert declared.table.requires_keys
     assert declared.table.organisations.by_key_digest == {}
 
 
 def test_invalid_document_is_not_stored_with_its_keys() -> None:
-    assert without_keys(b'{"resources": "k-secret"}') == b''
-    assert without_keys(base64.b64encode(b'k-secret')) == b''
+    assert replace_keys_with_digests(b'{"resources": "k-secret"}') == b''
+    assert replace_keys_with_digests(base64.b64encode(b'k-secret')) == b''
 
 
 def test_key_of_two_organisations_is_reported_by_digest() -> None:
-    stored = without_keys(document({'api_keys': ['k-secret']}, {'api_keys': ['k-secret']}))
+    stored = replace_keys_with_digests(
+        document({'api_keys': ['k-secret']}, {'api_keys': ['k-secret']})
+    )
     refused = decode_row(config_row(stored))
     assert isinstance(refused, Invalid)
     assert digest_key(b'k-secret') in refused.problems[0]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -73,10 +73,10 @@
     then its endpoints are full, and half of the requests run elsewhere.
     """
     reads = READS._replace(
-        per_s=539.0, cold_service_s=1.296, objective_s=0.818, timeout_s=3.0, key_count=900
+        per_s=539.0, cold_service_s=1.296, latency_objective_s=0.818, timeout_s=3.0, key_count=900
     )
     writes = WRITES._replace(
-        per_s=191.0, cold_service_s=1.68, objective_s=1.01, timeout_s=5.0, key_count=350
+        per_s=191.0, cold_service_s=1.68, latency_objective_s=1.01, timeout_s=5.0, key_count=350
     )
     start = Scenario(
         endpoints_by_region={'west': 60, 'east': 26, 'south': 20},
--- a/tests/test_own_organisations.py
+++ b/tests/test_own_organisations.py
@@ -11,7 +11,7 @@
 import httpx
 import pytest
 
-from plantainloft_core.allowances import ClaimBook
+from plantainloft_core.allowances import CapacityClaims
 from plantainloft_core.committing import commit_patch
 from plantainloft_core.model import Configuration, parse_configuration
 from plantainloft_core.organisations import digest_key
@@ -22,9 +22,9 @@
 from plantainloft_ctl.commands.organisations import Organisations
 from plantainloft_ctl.organisations import organisation_rows
 from plantainloft_ctl.plot import plot_organisations
-from plantainloft_node.deciding import Decider, NearestDecider, SplitDecider
-from plantainloft_node.loads import LoadBook
-from plantainloft_standins.cluster import Cluster, bring_up
+from plantainloft_node.deciding import EndpointSelector, NearestZoneSelector, TrafficSplitSelector
+from plantainloft_node.loads import EndpointLoadTracker
+from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import Deployment, ServicePlan
 
 REGIONS = {'ankara': {'capacity': 80, 'zones': ['a']}, 'izmir': {'capacity': 80, 'zones': ['b']}}
@@ -52,7 +52,7 @@
         {'bar': {'keys': {DIGEST: 'front desk'}, 'rate': 5, 'burst': 2, 'regions': ['izmir']}}
     )
     assert isinstance(config, Configuration)
-    holder = config.organisations.holder_of(b'k-bar')
+    holder = config.organisations.find_by_key(b'k-bar')
     assert holder is not None
     assert (holder.name, holder.limit, holder.regions) == ('bar', (5.0, 2.0), {'izmir'})
 
@@ -93,8 +93,8 @@
     patched = apply_patch(document, patch, version=2)
     assert not isinstance(patched, Invalid)
     organisations = patched[1].organisations
-    assert organisations.holder_of(b'k-bar') is None
-    assert organisations.holder_of(b'k-other') is not None
+    assert organisations.find_by_key(b'k-bar') is None
+    assert organisations.find_by_key(b'k-other') is not None
 
 
 def two_region_document() -> dict[str, Any]:
@@ -112,17 +112,25 @@
     config = parse_configuration(two_region_document(), version=1)
     assert isinstance(config, Configuration)
     async with httpx.AsyncClient() as http:
-        loads = LoadBook(http=http, poll_s=1.0)
-        decider: Decider = NearestDecider(loads=loads, zone='a')
+        loads = EndpointLoadTracker(http=http, poll_s=1.0)
+        endpoint_selector: EndpointSelector = NearestZoneSelector(loads=loads, zone='a')
         if kind == 'split':
-            claims = ClaimBook(home='ankara')
-            decider = SplitDecider(loads=loads, claims=claims, region='ankara', zone='a')
-        decider.decide(config, 'desk', tried=(), homes=frozenset(('izmir',)))
-        decider.tick(config, live_peers=())
-        choice = decider.decide(config, 'desk', tried=(), homes=frozenset(('izmir',)))
+            claims = CapacityClaims(home_region='ankara')
+            endpoint_selector = TrafficSplitSelector(
+                loads=loads, claims=claims, region='ankara', zone='a'
+            )
+        endpoint_selector.select(
+            config, 'desk', tried_endpoints=(), allowed_regions=frozenset(('izmir',))
+        )
+        endpoint_selector.update(config, live_peers=())
+        choice = endpoint_selector.select(
+            config, 'desk', tried_endpoints=(), allowed_regions=frozenset(('izmir',))
+        )
         assert isinstance(choice, Choice)
         assert choice.endpoint.region == 'izmir'
-        again = decider.decide(config, 'desk', tried=[choice.endpoint], homes=frozenset(('izmir',)))
+        again = endpoint_selector.select(
+            config, 'desk', tried_endpoints=[choice.endpoint], allowed_regions=frozenset(('izmir',))
+        )
         assert isinstance(again, Refused)
 
 
@@ -145,7 +153,7 @@
 
 @pytest.fixture
 def cluster_of_twelve(tmp_path: Path) -> Iterator[Cluster]:
-    cluster = bring_up(TWELVE, work_dir=tmp_path, entries_per_zone=2)
+    cluster = start_cluster(TWELVE, work_dir=tmp_path, entries_per_zone=2)
     yield cluster
     cluster.processes.stop_all()
 
@@ -156,7 +164,7 @@
         version = httpx.get(f'{next(iter(cluster.entries_by_name.values()))}/v1/status').json()
         outcome = await commit_patch(
             client,
-            against=version['version'],
+            base_version=version['version'],
             patch=patch,
             author='test',
             change_id=f'test-{version["version"]}',
@@ -206,7 +214,7 @@
         if index and index % 150 == 0:
             cluster_of_twelve.processes.by_name[name].kill()
             cluster_of_twelve.processes.by_name[name].wait()
-            cluster_of_twelve.processes.spawn_again(name)
+            cluster_of_twelve.processes.respawn(name)
             continue
         status = ask(cluster_of_twelve.entries_by_name[name], key_header)
         statuses[status] += 1
