--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -13,8 +13,8 @@
 
 from plantainloft_core.lookup import Member
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.roster import Roster, Status
-from plantainloft_node.peering import PeerConnection, Traffic, serve_peers
+from plantainloft_core.roster import MembershipList, MembershipStatus
+from plantainloft_node.peering import PeerConnection, PeerTrafficCounter, serve_peers
 from plantainloft_standins.launch import free_port
 
 pytestmark = pytest.mark.anyio
@@ -39,9 +39,11 @@
     tasks: TaskGroup, serve: Callable[..., Awaitable[None]] = serve_peers
 ) -> PeerConnection:
     address = f'127.0.0.1:{free_port()}'
-    traffic = Traffic()
-    await tasks.start(partial(serve, traffic=traffic), address, {'echo': _echo_after_delay})
-    return PeerConnection(address=address, tasks=tasks, traffic=traffic)
+    peer_traffic = PeerTrafficCounter()
+    await tasks.start(
+        partial(serve, peer_traffic=peer_traffic), address, {'echo': _echo_after_delay}
+    )
+    return PeerConnection(address=address, tasks=tasks, peer_traffic=peer_traffic)
 
 
 async def test_each_call_gets_its_own_answer_out_of_order(tasks: TaskGroup) -> None:
@@ -76,7 +78,7 @@
     accepted: list[SocketStream] = []
 
     async def serve(
-        address: str, _: object, *, traffic: Traffic, task_status: TaskStatus[None]
+        address: str, _: object, *, peer_traffic: PeerTrafficCounter, task_status: TaskStatus[None]
     ) -> None:
         host, _, port = address.rpartition(':')
         listener = await anyio.create_tcp_listener(local_host=host, local_port=int(port))
@@ -111,35 +113,38 @@
 
 
 class _GossipSimulation:
-    """Rosters that gossip in rounds while messages are lost and nodes are down."""
+    """Membership lists that gossip in rounds while messages are lost and nodes are down."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.rosters = [
-            Roster(me=_member(index), suspect_s=2.0, seed=index) for index in range(NODE_COUNT)
+        self.membership_lists = [
+            MembershipList(local_member=_member(index), suspicion_timeout_s=2.0, seed=index)
+            for index in range(NODE_COUNT)
         ]
-        for roster in self.rosters:
-            roster.merge(self.rosters[0].everyone(), 0.0)
-            self.rosters[0].merge(roster.everyone(), 0.0)
+        for membership_list in self.membership_lists:
+            membership_list.apply_updates(self.membership_lists[0].all_updates(), 0.0)
+            self.membership_lists[0].apply_updates(membership_list.all_updates(), 0.0)
         self.now = 0.0
 
     def run_round(self, *, down: set[int], loss: float) -> None:
         self.now += 0.5
-        for index, roster in enumerate(self.rosters):
+        for index, membership_list in enumerate(self.membership_lists):
             if index in down:
                 continue
-            roster.expire(self.now)
-            for target in roster.targets(3):
+            membership_list.expire_suspects(self.now)
+            for target in membership_list.next_probe_targets(3):
                 other = int(target.name[1:])
                 if other in down or self.rng.random() < loss:
-                    roster.miss(target.name, self.now)
+                    membership_list.record_probe_failure(target.name, self.now)
                 else:
-                    self._exchange_heartbeats(roster, self.rosters[other])
+                    self._exchange_heartbeats(membership_list, self.membership_lists[other])
 
-    def _exchange_heartbeats(self, sender: Roster, receiver: Roster) -> None:
+    def _exchange_heartbeats(self, sender: MembershipList, receiver: MembershipList) -> None:
         for origin, recipient in ((sender, receiver), (receiver, sender)):
-            recipient.hear(origin.me, self.now)
-            recipient.merge(origin.news(to=recipient.me.name), self.now)
+            recipient.record_contact(origin.local_member, self.now)
+            recipient.apply_updates(
+                origin.updates_for(receiver=recipient.local_member.name), self.now
+            )
 
 
 @settings(max_examples=40, deadline=None)
@@ -148,10 +153,12 @@
     down=st.sets(st.integers(1, NODE_COUNT - 1), max_size=4),
     loss=st.sampled_from([0.0, 0.2, 0.5]),
 )
-def test_roster_agrees_after_loss_kills_and_freezes(seed: int, down: set[int], loss: float) -> None:
+def test_membership_lists_agree_after_loss_kills_and_freezes(
+    seed: int, down: set[int], loss: float
+) -> None:
     """Look-ups must neither keep a dead instance nor miss a live one.
 
-    This happens if older events override newer ones or if a node does not refute
+    This happens if older updates override newer ones or if a node does not refute
     false reports of its death. Some nodes are frozen here while messages are lost;
     they resume when all others believe them dead, and messages arrive again.
     """
@@ -164,18 +171,20 @@
         simulation.run_round(down=down, loss=0)
     running = {index for index in range(NODE_COUNT) if index not in down}
     for index in running:
-        live = {member.name for member in simulation.rosters[index].live()}
+        live = {member.name for member in simulation.membership_lists[index].live_members()}
         assert live == {f'n{other}' for other in running}
     for _ in range(2 * ROUNDS_PER_PHASE):
         simulation.run_round(down=set(), loss=0)
-    for roster in simulation.rosters:
-        assert len(roster.live()) == NODE_COUNT
+    for membership_list in simulation.membership_lists:
+        assert len(membership_list.live_members()) == NODE_COUNT
 
 
-def test_events_of_an_older_incarnation_are_ignored() -> None:
-    roster = Roster(me=_member(0), suspect_s=1.0)
+def test_updates_of_an_older_incarnation_are_ignored() -> None:
+    membership_list = MembershipList(local_member=_member(0), suspicion_timeout_s=1.0)
     newer = _member(1)._replace(incarnation=5)
-    roster.hear(newer, 0.0)
-    older_events = Roster(me=_member(1), suspect_s=1.0).everyone()
-    roster.merge([event._replace(status=Status.DEAD) for event in older_events], 0.0)
-    assert roster.status_of('n1') == Status.ALIVE
+    membership_list.record_contact(newer, 0.0)
+    older_updates = MembershipList(local_member=_member(1), suspicion_timeout_s=1.0).all_updates()
+    membership_list.apply_updates(
+        [update._replace(status=MembershipStatus.DEAD) for update in older_updates], 0.0
+    )
+    assert membership_list.status_of('n1') == MembershipStatus.ALIVE
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from plantainloft_core.discovery import EndpointRecord
-from plantainloft_core.routes import ServiceShare, ServiceSpec
+from plantainloft_core.routes import ServiceLimits, WeightedService
 from plantainloft_node.placing.budget import Allowance, RetryBudget, SlidingWindowCounter
 from plantainloft_node.placing.cold import cold_share
 from plantainloft_node.placing.endpoints import EndpointBook
@@ -22,8 +22,8 @@
 from plantainloft_node.placing.splitting import SplitTurns
 
 NOW = 1000.0
-SPEC = ServiceSpec(
-    name=SERVICE, health_path='/health', max_connections=100, warmup_s=3.0, cold_rate=11.0
+SERVICE_LIMITS = ServiceLimits(
+    name=SERVICE, health_path='/health', max_connections=100, warmup_s=3.0, cold_requests_per_s=11.0
 )
 ROUTE = route(idempotent=True, prefix='/files/')
 
@@ -67,7 +67,7 @@
 
 
 def chosen_id(placement: Placement, key: str = '7', **changes: object) -> str:
-    choice = placement.choose(request(key, **changes), SPEC, NOW)
+    choice = placement.choose(request(key, **changes), SERVICE_LIMITS, NOW)
     assert isinstance(choice, Selection)
     return choice.endpoint.record.id
 
@@ -99,7 +99,7 @@
     """Place 100 requests with ``full`` queues of the own region full; count spilled ones."""
     for number in range(6):
         book.by_id[f'a{number}'].note_report(busy=8 * (number < full), now=at)
-    choices = [placement.choose(request(str(key)), SPEC, at) for key in range(100)]
+    choices = [placement.choose(request(str(key)), SERVICE_LIMITS, at) for key in range(100)]
     return sum(
         isinstance(choice, Selection) and choice.endpoint.region == 'izmir' for choice in choices
     )
@@ -152,9 +152,9 @@
     for _ in range(4):
         book.by_id[first].note_given_up(1.0, later)
     assert book.by_id[first].is_slow(later)
-    choice = placement.choose(request(), SPEC, later)
+    choice = placement.choose(request(), SERVICE_LIMITS, later)
     assert isinstance(choice, Selection) and choice.endpoint.record.id != first
-    again = placement.choose(request(), SPEC, later + 4)
+    again = placement.choose(request(), SERVICE_LIMITS, later + 4)
     assert isinstance(again, Selection) and again.endpoint.record.id == first
 
 
@@ -179,8 +179,8 @@
 def test_the_lowest_priority_is_refused_first(placement: Placement, book: EndpointBook) -> None:
     for state in book.by_id.values():
         state.note_report(busy=7, now=NOW)
-    assert isinstance(placement.choose(request(priority=2), SPEC, NOW), NoCapacity)
-    assert isinstance(placement.choose(request(priority=0), SPEC, NOW), Selection)
+    assert isinstance(placement.choose(request(priority=2), SERVICE_LIMITS, NOW), NoCapacity)
+    assert isinstance(placement.choose(request(priority=0), SERVICE_LIMITS, NOW), Selection)
 
 
 def test_draining_evacuated_and_disallowed_endpoints_get_no_requests(
@@ -255,7 +255,7 @@
     sent = 0
     for step in range(100):
         now = NOW + step / 100
-        choice = placement.choose(request(), SPEC, now)
+        choice = placement.choose(request(), SERVICE_LIMITS, now)
         if isinstance(choice, Selection):
             placement.note_sent(choice.endpoint, now)
             sent += 1
@@ -315,7 +315,7 @@
 
 def test_a_traffic_split_holds_over_few_requests() -> None:
     turns = SplitTurns()
-    shares = (ServiceShare('new', 10.0), ServiceShare('old', 90.0))
+    shares = (WeightedService('new', 10.0), WeightedService('old', 90.0))
     for count in (10, 50, 100):
         chosen = [turns.next(shares) for _ in range(count)]
         assert abs(chosen.count('new') - count / 10) <= 1
@@ -332,13 +332,13 @@
     for state in book.by_id.values():
         while not state.health.note_failed(NOW):
             continue
-    assert isinstance(placement.choose(request(), SPEC, NOW), NoCapacity)
+    assert isinstance(placement.choose(request(), SERVICE_LIMITS, NOW), NoCapacity)
     placement.update_ejections(NOW)
-    assert isinstance(placement.choose(request(), SPEC, NOW), Selection)
+    assert isinstance(placement.choose(request(), SERVICE_LIMITS, NOW), Selection)
     for state in book.by_id.values():
         state.health.note_unreachable(NOW + 10)
     placement.update_ejections(NOW + 10)
-    assert isinstance(placement.choose(request(), SPEC, NOW + 10), NoCapacity)
+    assert isinstance(placement.choose(request(), SERVICE_LIMITS, NOW + 10), NoCapacity)
 
 
 def test_a_request_is_not_queued_where_it_cannot_be_answered_in_time(
@@ -353,8 +353,8 @@
     for state in book.by_id.values():
         state.note_report(busy=4, now=NOW)
     book.pace_of(SERVICE).note_answer(0.3)
-    assert isinstance(placement.choose(request(left_s=0.7), SPEC, NOW), Selection)
-    refused = placement.choose(request(left_s=0.5), SPEC, NOW)
+    assert isinstance(placement.choose(request(left_s=0.7), SERVICE_LIMITS, NOW), Selection)
+    refused = placement.choose(request(left_s=0.5), SERVICE_LIMITS, NOW)
     assert isinstance(refused, NoCapacity)
     assert refused.reason == 'no endpoint answers in time'
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -48,9 +48,9 @@
 def test_rows_are_decoded_into_changes() -> None:
     declared = decode_row(row('config', config(7)))
     assert isinstance(declared, RoutesDeclared)
-    route = declared.table.match('desk.example', '/notices/4')
+    route = declared.table.find_route('desk.example', '/notices/4')
     assert route is not None and not route.idempotent and route.timeout_s == 1.5
-    assert declared.table.services_by_name['desk'].cold_rate == 11.0
+    assert declared.table.services_by_name['desk'].cold_requests_per_s == 11.0
     assert decode_row(row('evacuate/ank-a', {})) == ZoneEvacuation(zone='ank-a', evacuated=True)
     assert decode_row(row('evacuate/ank-a', None)) == ZoneEvacuation(zone='ank-a', evacuated=False)
     listed = decode_row(row('i-1', endpoint_row('10.0.0.1:80', state='draining'), table=ENDPOINTS))
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -15,7 +15,7 @@
 from plantainloft_node.fleet.members import GONE_AFTER_S, Beat, FleetMember, MemberBook
 from plantainloft_node.placing.affinity import score
 from plantainloft_node.replica.news import INSTANCES, News
-from plantainloft_node.streams.links import Links
+from plantainloft_node.streams.links import PeerConnections
 from plantainloft_platform.store import PlatformStore
 
 pytestmark = pytest.mark.anyio
@@ -60,7 +60,7 @@
     async def malformed_answer(*args: object, **kwargs: object) -> object:
         return answer
 
-    monkeypatch.setattr(Links, 'call', malformed_answer)
+    monkeypatch.setattr(PeerConnections, 'call', malformed_answer)
     async with running_store() as (standin, tasks):
         settings = entry_settings(standin.address)
         observation = Observation(
--- a/tests/test_shifting.py
+++ b/tests/test_shifting.py
@@ -8,14 +8,14 @@
 
 from plantainloft_core.committing import commit_patch
 from plantainloft_core.outcomes import Committed, Invalid
-from plantainloft_core.planning import RegionView, desired_shares
-from plantainloft_core.shifting import SHIFT_WINDOW_S, ServiceSplit
+from plantainloft_core.planning import RegionLoad, target_shares
+from plantainloft_core.shifting import SHIFT_WINDOW_S, TrafficSplit
 from plantainloft_core.table_client import TableClient
 
 REGIONS = ('ankara', 'istanbul', 'izmir')
 REQUESTS_PER_S = 40
 WINDOW_REQUESTS = int(SHIFT_WINDOW_S * REQUESTS_PER_S)
-IDLE_REGION = RegionView(slots=20.0, free=20.0, refused_share=0.0)
+IDLE_REGION = RegionLoad(usable_slots=20.0, free_slots=20.0, refused_share=0.0)
 
 
 def _moved_share(before: list[str], after: list[str]) -> float:
@@ -49,33 +49,39 @@
     times, so that requests spill. The cap would be exceeded if moves, moves
     back and spilled requests were not counted together.
     """
-    split = ServiceSplit(shares_by_region={'ankara': 1.0})
+    split = TrafficSplit(shares_by_region={'ankara': 1.0})
     sent: list[str] = []
     for period in range(24):
         lost_regions = lost_by_period[period % len(lost_by_period)]
-        full_region = RegionView(slots=20.0, free=0.0, refused_share=full_share)
-        views = {region: IDLE_REGION for region in REGIONS if region not in lost_regions}
-        if full_share and 'ankara' in views:
-            views['ankara'] = full_region
+        full_region = RegionLoad(usable_slots=20.0, free_slots=0.0, refused_share=full_share)
+        loads_by_region = {region: IDLE_REGION for region in REGIONS if region not in lost_regions}
+        if full_share and 'ankara' in loads_by_region:
+            loads_by_region['ankara'] = full_region
         for step in range(4 * REQUESTS_PER_S):
             now = 100.0 + period * 4 + step / REQUESTS_PER_S
             if step % (REQUESTS_PER_S // 2) == 0:
-                desired = desired_shares(split.shares_by_region, views, home='ankara')
-                split.retarget(desired, cap=cap, now=now)
-            region = split.pick(now)
+                target = target_shares(
+                    split.shares_by_region, loads_by_region, home_region='ankara'
+                )
+                split.move_towards(target, cap=cap, now=now)
+            region = split.next_region(now)
             assert region is not None
-            if region in lost_regions and views and split.try_spill(cap=cap, now=now):
-                region = next(iter(views))
+            if (
+                region in lost_regions
+                and loads_by_region
+                and split.try_acquire_spillover(cap=cap, now=now)
+            ):
+                region = next(iter(loads_by_region))
             sent.append(region)
     # Rounding adds up to one request per region on either side of the boundary.
     assert _largest_move(sent) <= cap + 2 * len(REGIONS) / WINDOW_REQUESTS
 
 
 def test_shares_always_add_up_to_one() -> None:
-    shares = desired_shares(
+    shares = target_shares(
         {'ankara': 0.5, 'izmir': 0.5},
         {'ankara': IDLE_REGION, 'istanbul': IDLE_REGION},
-        home='ankara',
+        home_region='ankara',
     )
     assert abs(sum(shares.values()) - 1.0) < 1e-9
     assert 'izmir' not in shares or shares['izmir'] == 0
@@ -105,10 +111,14 @@
         [{'op': 'add', 'path': f'/endpoints/izmir-{index}/state', 'value': 'draining'}]
         for index in range(6)
     ]
-    for against, patch in enumerate(patches):
+    for base_version, patch in enumerate(patches):
         outcomes.append(
             await commit_patch(
-                client, against=against, patch=patch, author='t', change_id=f'c{against}'
+                client,
+                base_version=base_version,
+                patch=patch,
+                author='t',
+                change_id=f'c{base_version}',
             )
         )
     assert [type(outcome) for outcome in outcomes[:5]] == [Committed] * 5
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -31,7 +31,7 @@
         regions_by_name={'ankara': Region(name='ankara', capacity=region_capacity, zones=ZONES)},
         services_by_name={'s': Service(name='s', shift_cap=0.2, slo_ms=100)},
         endpoints_by_name=endpoints,
-        blocks_by_name={},
+        client_blocks_by_name={},
     )
 
 
@@ -44,7 +44,7 @@
         local_inflight=0,
         reported_inflight=inflight,
         report_age_s=age_s,
-        known_for_s=60,
+        in_service_s=60,
     )
 
 
@@ -55,7 +55,7 @@
     stale report would take e0 for idle and keep sending to it.
     """
     config = _config(region_capacity=100)
-    stale = EndpointLoad(local_inflight=1, reported_inflight=0, report_age_s=30, known_for_s=60)
+    stale = EndpointLoad(local_inflight=1, reported_inflight=0, report_age_s=30, in_service_s=60)
     loads = {'e0': stale, 'e1': _reported_load(4), 'e2': _reported_load(4), 'e3': _reported_load(4)}
     choice = _policy().choose(config, service='s', zone='ankara-a', loads_by_endpoint=loads)
     assert isinstance(choice, Refused)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -34,7 +34,7 @@
     if the version were read and then written without a condition.
     """
     assert await commit_patch(
-        client, against=0, patch=ADD_REGION, author='a', change_id='c0'
+        client, base_version=0, patch=ADD_REGION, author='a', change_id='c0'
     ) == Committed(version=1)
     outcomes: list[object] = []
 
@@ -42,7 +42,7 @@
         outcomes.append(
             await commit_patch(
                 client,
-                against=1,
+                base_version=1,
                 patch=_add_service(name),
                 author=name,
                 change_id=name,
@@ -68,7 +68,7 @@
     """
     table.faults = Faults(mode='lose_answer')
     outcome = await commit_patch(
-        client, against=0, patch=ADD_REGION, author='a', change_id='lost-1'
+        client, base_version=0, patch=ADD_REGION, author='a', change_id='lost-1'
     )
     table.faults = Faults()
     assert outcome == Committed(version=1)
@@ -79,7 +79,7 @@
 ) -> None:
     table.faults = Faults(mode='down')
     outcome = await commit_patch(
-        client, against=0, patch=ADD_REGION, author='a', change_id='down-1'
+        client, base_version=0, patch=ADD_REGION, author='a', change_id='down-1'
     )
     assert isinstance(outcome, Unreachable)
 
@@ -94,7 +94,7 @@
             'value': {'x': {'capacity': -1, 'zones': []}},
         }
     ]
-    outcome = await commit_patch(client, against=0, patch=patch, author='a', change_id='bad')
+    outcome = await commit_patch(client, base_version=0, patch=patch, author='a', change_id='bad')
     assert outcome == Invalid(
         problems=(
             'regions.x.zones: must be a non-empty list',
