--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -19,7 +19,7 @@
 
 from plantainloft_core.routes import CallerLimits
 from plantainloft_node.engine.callers import CallerConnection
-from plantainloft_node.engine.exchange import Exchange, Handler
+from plantainloft_node.engine.exchange import Exchange, ExchangeHandler
 
 JSON_TYPE = [(b'content-type', b'application/json')]
 OPERATOR = 'op'
@@ -27,7 +27,7 @@
 SIGNED = b'HTTP/1.1 200 OK\r\nX-Plantainloft-Response-Signature: s\r\nContent-Length: 2\r\n\r\nok'
 
 
-class StoreStandin(Handler):
+class StoreStandin(ExchangeHandler):
     """Keeps rows in memory and serves them as the platform's documentation describes.
 
     A test injects faults by setting attributes: while ``refusing`` is set,
@@ -49,7 +49,7 @@
     def limits(self) -> CallerLimits:
         return CallerLimits()
 
-    def repeatable(self, exchange: Exchange) -> bool:
+    def is_idempotent(self, exchange: Exchange) -> bool:
         return True
 
     def put(self, table: str, key: str, document: Any) -> None:
@@ -76,7 +76,7 @@
         if self.silent:
             await anyio.sleep_forever()
         if self.refusing:
-            await exchange.answer(503, [])
+            await exchange.respond(503, [])
             return
         parameters = {name: values[0] for name, values in parse_qs(exchange.query).items()}
         if operation == 'rows-get':
@@ -84,14 +84,14 @@
         elif operation == 'rows-feed':
             await self._feed(exchange, parameters)
         else:
-            body, _ = await exchange.body.prefetch()
+            body, _ = await exchange.body.read_replayable()
             await self._transact(exchange, json.loads(body))
 
     async def _transact(self, exchange: Exchange, transaction: dict[str, Any]) -> None:
         for row in transaction['expect_rev']:
             current = self.rows.get((row['table'], row['key']), {'ver': 0})
             if row['ver'] != (0 if current.get('removed') else current['ver']):
-                await exchange.answer(412, JSON_TYPE, b'{"rows":[]}')
+                await exchange.respond(412, JSON_TYPE, b'{"rows":[]}')
                 return
         for row in transaction['writes']:
             self._write(row['table'], row['key'], row['value'])
@@ -113,7 +113,7 @@
     async def _feed(self, exchange: Exchange, parameters: dict[str, str]) -> None:
         after = int(parameters['after'])
         if after < self.forgotten:
-            await exchange.answer(410, [])
+            await exchange.respond(410, [])
             return
         with anyio.move_on_after(int(parameters['wait_ms']) / 1000):
             while not self._rows_after(parameters['table'], after):
@@ -122,7 +122,7 @@
 
     async def _reply(self, exchange: Exchange, document: dict[str, Any]) -> None:
         payload = {**document, 'ver': self.version, 'now': '1ms'}
-        await exchange.answer(200, JSON_TYPE, json.dumps(payload).encode())
+        await exchange.respond(200, JSON_TYPE, json.dumps(payload).encode())
 
     def _rows_after(self, table: str, after: int) -> list[dict[str, Any]]:
         rows = [row for (name, _), row in self.rows.items() if name == table]
@@ -144,7 +144,7 @@
         self._changed = anyio.Event()
 
 
-class StoreDoor(Handler):
+class StoreDoor(ExchangeHandler):
     """A proxy through which one entry instance reaches the store.
 
     It can refuse requests while other instances still reach the store.
@@ -159,7 +159,7 @@
     def limits(self) -> CallerLimits:
         return self._store.limits()
 
-    def repeatable(self, exchange: Exchange) -> bool:
+    def is_idempotent(self, exchange: Exchange) -> bool:
         return True
 
     async def serve(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
@@ -167,14 +167,14 @@
 
     async def handle(self, exchange: Exchange) -> None:
         if self.refusing:
-            await exchange.answer(503, [])
+            await exchange.respond(503, [])
             return
         with anyio.CancelScope() as scope:
             self._open_requests.add(scope)
             await self._store.handle(exchange)
         self._open_requests.discard(scope)
         if scope.cancelled_caught:
-            await exchange.answer(503, [])
+            await exchange.respond(503, [])
 
     def refuse(self) -> None:
         """Answer 503 from now on, also to open requests such as long polls."""
--- a/tests/test_expecting.py
+++ b/tests/test_expecting.py
@@ -5,7 +5,7 @@
 
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.routes import ServiceLimits
-from plantainloft_node.placing.endpoints import EndpointBook, EndpointState
+from plantainloft_node.placing.endpoints import EndpointRegistry, EndpointState
 from plantainloft_node.placing.expecting import (
     MAX_RECENT_KEYS,
     RECENT_KEY_TTL_S,
@@ -15,7 +15,7 @@
 from plantainloft_node.placing.placement import (
     Placement,
     PlacementRequest,
-    PlacementTerms,
+    PlacementSettings,
     Selection,
 )
 
@@ -42,50 +42,50 @@
 
 
 @pytest.fixture
-def book() -> EndpointBook:
+def endpoint_registry() -> EndpointRegistry:
     """Return one endpoint in the own region and one in another, both idle.
 
     Processing takes 0.15 s if the object is cached, 0.48 s otherwise.
     """
-    book = EndpointBook(region_by_zone={'a': 'ankara', 'i': 'izmir'})
-    book.put(record('near', 'a'), NOW)
-    book.put(record('far', 'i'), NOW)
-    book.by_id['near'].note_connected(0.001)
-    book.by_id['far'].note_connected(ROUND_TRIP_S)
-    processing = book.work_by_service[SERVICE]
-    processing.note(0.48, remembered=False)
+    endpoint_registry = EndpointRegistry(region_by_zone={'a': 'ankara', 'i': 'izmir'})
+    endpoint_registry.add_or_update(record('near', 'a'), NOW)
+    endpoint_registry.add_or_update(record('far', 'i'), NOW)
+    endpoint_registry.by_id['near'].record_connect_time(0.001)
+    endpoint_registry.by_id['far'].record_connect_time(ROUND_TRIP_S)
+    processing = endpoint_registry.processing_by_service[SERVICE]
+    processing.record(0.48, cached=False)
     for _ in range(200):
-        processing.note(0.15, remembered=True)
-    return book
+        processing.record(0.15, cached=True)
+    return endpoint_registry
 
 
 @pytest.fixture
-def near(book: EndpointBook) -> EndpointState:
-    return book.by_id['near']
+def near(endpoint_registry: EndpointRegistry) -> EndpointState:
+    return endpoint_registry.by_id['near']
 
 
 @pytest.fixture
-def far(book: EndpointBook) -> EndpointState:
-    return book.by_id['far']
+def far(endpoint_registry: EndpointRegistry) -> EndpointState:
+    return endpoint_registry.by_id['far']
 
 
 @pytest.fixture
-def placement(book: EndpointBook) -> Placement:
-    terms = PlacementTerms(region='ankara', instance='e1', cold_over=1.5, cold_slack=5.0)
-    placement = Placement(terms=terms, book=book)
+def placement(endpoint_registry: EndpointRegistry) -> Placement:
+    settings = PlacementSettings(region='ankara', instance='e1', cold_over=1.5, cold_slack=5.0)
+    placement = Placement(settings=settings, endpoint_registry=endpoint_registry)
     placement.update_instances({'e1': 'ankara'})
     return placement
 
 
 def chosen_id(placement: Placement) -> str:
     request = PlacementRequest(ROUTE, SERVICE, KEY, frozenset(), 2.0)
-    choice = placement.choose(request, SERVICE_LIMITS, NOW)
+    choice = placement.select_endpoint(request, SERVICE_LIMITS, NOW)
     assert isinstance(choice, Selection)
     return choice.endpoint.record.id
 
 
 def report_load(state: EndpointState, busy: int) -> None:
-    state.note_report(busy=busy, now=NOW)
+    state.record_load_report(busy=busy, now=NOW)
 
 
 def test_a_request_queues_at_the_endpoint_that_has_its_object_cached(
@@ -100,7 +100,7 @@
     """
     report_load(near, SLOTS)
     report_load(far, 0)
-    near.keys.note(KEY, NOW)
+    near.recent_keys.record(KEY, NOW)
     assert chosen_id(placement) == 'near'
 
 
@@ -109,7 +109,7 @@
 ) -> None:
     report_load(far, 0)
     for state in (near, far):
-        state.keys.note(KEY, NOW)
+        state.recent_keys.record(KEY, NOW)
     report_load(near, SLOTS)
     assert chosen_id(placement) == 'near'
     report_load(near, 2 * SLOTS)
@@ -127,35 +127,37 @@
     assert chosen_id(placement) == 'far'
 
 
-def test_a_new_incarnation_has_nothing_cached(book: EndpointBook, near: EndpointState) -> None:
-    near.keys.note(KEY, NOW)
-    book.put(near.record._replace(born_ms=1), NOW)
-    assert not book.by_id['near'].keys.has(KEY, NOW)
+def test_a_new_incarnation_has_nothing_cached(
+    endpoint_registry: EndpointRegistry, near: EndpointState
+) -> None:
+    near.recent_keys.record(KEY, NOW)
+    endpoint_registry.add_or_update(near.record._replace(born_ms=1), NOW)
+    assert not endpoint_registry.by_id['near'].recent_keys.contains(KEY, NOW)
 
 
 def test_processing_times_exclude_round_trip_and_queueing(
-    book: EndpointBook, far: EndpointState
+    endpoint_registry: EndpointRegistry, far: EndpointState
 ) -> None:
-    before = book.work_by_service[SERVICE].expected_s(remembered=False)
-    far.note_work('x', 9.0, NOW, had_room=False)
-    assert book.work_by_service[SERVICE].expected_s(remembered=False) == before
-    far.note_work('y', 0.48 + ROUND_TRIP_S, NOW, had_room=True)
-    after = book.work_by_service[SERVICE].expected_s(remembered=False)
+    before = endpoint_registry.processing_by_service[SERVICE].expected_s(cached=False)
+    far.record_processing('x', 9.0, NOW, had_free_slot=False)
+    assert endpoint_registry.processing_by_service[SERVICE].expected_s(cached=False) == before
+    far.record_processing('y', 0.48 + ROUND_TRIP_S, NOW, had_free_slot=True)
+    after = endpoint_registry.processing_by_service[SERVICE].expected_s(cached=False)
     assert after == pytest.approx(0.48, abs=0.01)
 
 
 def test_before_any_answer_on_a_cached_object_the_uncached_time_is_expected() -> None:
     processing = ProcessingTimes()
-    processing.note(0.5, remembered=False)
-    assert processing.expected_s(remembered=True) == 0.5
-    processing.note(0.2, remembered=True)
-    assert processing.expected_s(remembered=True) == 0.2
+    processing.record(0.5, cached=False)
+    assert processing.expected_s(cached=True) == 0.5
+    processing.record(0.2, cached=True)
+    assert processing.expected_s(cached=True) == 0.2
 
 
 def test_recent_keys_are_limited_in_number_and_expire() -> None:
     keys = RecentKeys()
     for number in range(MAX_RECENT_KEYS + 1):
-        keys.note(str(number), NOW)
-    assert not keys.has('0', NOW)
-    assert keys.has('1', NOW)
-    assert not keys.has('1', NOW + RECENT_KEY_TTL_S)
+        keys.record(str(number), NOW)
+    assert not keys.contains('0', NOW)
+    assert keys.contains('1', NOW)
+    assert not keys.contains('1', NOW + RECENT_KEY_TTL_S)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,8 +17,8 @@
 
 def cold_share_of_e1(region_by_instance: dict[str, str]) -> int:
     return cold_share(
-        bound=21.5,
-        me='e1',
+        max_rate=21.5,
+        instance='e1',
         region_by_instance=region_by_instance,
         endpoint_id='x',
         region='ankara',
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -103,7 +103,7 @@
 
 async def test_a_refused_connection_allows_a_retry_of_a_non_idempotent_request() -> None:
     async with running_entry(echo, echo) as (entry, endpoints):
-        state = entry.book.by_id['i0']
+        state = entry.endpoint_registry.by_id['i0']
         state.record = state.record._replace(address='127.0.0.1:1')
         answers = [await entry.ask(post(b'x', request_id=b'r%d' % n)) for n in range(4)]
     assert [status_of(answer) for answer in answers] == [200] * 4
@@ -312,7 +312,7 @@
     async with running_entry(echo) as (entry, _), await entry.connect() as stream:
         await stream.send(get())
         await stream.receive()
-        entry.connections[0].closing = True
+        entry.connections[0].close_requested = True
         await stream.send(get(request_id=b'r2'))
         answer = b''
         with anyio.fail_after(5):
@@ -360,10 +360,10 @@
         await entry.ask(get())
         pool = entry.pool
         assert len(pool) == 1
-        await pool.keep_only(entry.book.incarnations())
+        await pool.close_all_except(entry.endpoint_registry.incarnations())
         assert len(pool) == 1
-        entry.book.drop('i0')
-        await pool.keep_only(entry.book.incarnations())
+        entry.endpoint_registry.remove('i0')
+        await pool.close_all_except(entry.endpoint_registry.incarnations())
         assert len(pool) == 0
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -108,7 +108,7 @@
     sharing: NewsSharing
 
     def is_using(self, endpoint_id: str) -> bool:
-        return endpoint_id in self.observation.book.by_id
+        return endpoint_id in self.observation.endpoint_registry.by_id
 
     def has_deletion(self, endpoint_id: str) -> bool:
         row = self.observation.rows.row_by_key.get((ENDPOINTS, endpoint_id))
@@ -156,7 +156,7 @@
         for part in (*observation.followers.values(), probes):
             tasks.start_soon(part.run)
         store.script(ENDPOINTS, INITIAL_LISTING)
-        await until(lambda: len(observation.book.by_id) == 2)
+        await until(lambda: len(observation.endpoint_registry.by_id) == 2)
         yield Instance(store, members, observation, sharing)
         tasks.cancel_scope.cancel()
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,19 +7,24 @@
 from plantainloft_core.organisations import Organisation, RateLimit, build_organisation_index
 from plantainloft_node.fleet.demand import fleet_size
 from plantainloft_node.fleet.ranking import relays_in
-from plantainloft_node.limits.limiter import DEFAULT_TERMS, LimitTerms, RequestLimiter
-from plantainloft_node.limits.shares import EqualShares, FleetSize, LimitState, SharesByDemand
+from plantainloft_node.limits.limiter import DEFAULT_LIMIT_SETTINGS, LimitSettings, RequestLimiter
+from plantainloft_node.limits.shares import (
+    DemandProportionalShares,
+    EqualShares,
+    FleetSize,
+    LimitState,
+)
 from plantainloft_node.limits.uses import (
-    MAX_REPORTED_USES,
-    OrganisationUse,
+    MAX_REPORTED_USAGES,
+    OrganisationUsage,
+    decode_usage,
+    encode_usage,
     organisation_number,
-    pack_uses,
-    unpack_uses,
 )
 from plantainloft_standins.fleet_model import FleetModel, FleetShape
-from plantainloft_standins.limit_model import CallerFlow, LimitPlay, model_organisation
+from plantainloft_standins.limit_model import CallerFlow, LimitSimulation, model_organisation
 
-EXACT = LimitTerms(window_s=5.0, over=0.0, slack=0.0)
+EXACT = LimitSettings(window_s=5.0, overshoot_ratio=0.0, overshoot_requests=0.0)
 TEN_PER_WINDOW = Organisation('desk', frozenset(), limit=RateLimit(1.0, 5.0))
 TWELVE_INSTANCES = FleetShape(instances=2)
 SIXTY_INSTANCES = FleetShape(instances=10)
@@ -31,8 +36,8 @@
 
 
 def single_limiter() -> RequestLimiter:
-    limiter = RequestLimiter(me='e1', terms=EXACT)
-    limiter.update({}, FleetSize(1, 1), -EXACT.window_s)
+    limiter = RequestLimiter(instance='e1', settings=EXACT)
+    limiter.update_fleet_usage({}, FleetSize(1, 1), -EXACT.window_s)
     return limiter
 
 
@@ -57,7 +62,7 @@
 def test_a_retry_on_another_endpoint_counts_against_the_limit() -> None:
     limiter = single_limiter()
     assert count_admitted(limiter, 4, 1.0) == 4
-    limiter.note_repeat(TEN_PER_WINDOW, 1.1)
+    limiter.record_retry(TEN_PER_WINDOW, 1.1)
     assert count_admitted(limiter, 30, 1.2) == 5
 
 
@@ -82,10 +87,10 @@
 
 def test_a_restarted_instance_admits_requests_by_the_time_since_its_start() -> None:
     """An instance must not admit its whole share again after each restart."""
-    limiter = RequestLimiter(me='e1', terms=EXACT)
-    limiter.update({}, FleetSize(1, 1), 0.0)
-    hot = {organisation_number('desk'): OrganisationUse(0, 30)}
-    limiter.update(hot, FleetSize(1, 1), 1.0)
+    limiter = RequestLimiter(instance='e1', settings=EXACT)
+    limiter.update_fleet_usage({}, FleetSize(1, 1), 0.0)
+    hot = {organisation_number('desk'): OrganisationUsage(0, 30)}
+    limiter.update_fleet_usage(hot, FleetSize(1, 1), 1.0)
     assert count_admitted(limiter, 30, 1.25) in (1, 2)
     assert count_admitted(limiter, 30, 2.6) <= 3
 
@@ -98,7 +103,7 @@
     simulation.run_for(5)
     refused = sum(simulation.refused(name, after_s=5.0) for name in ('large', 'medium', 'small'))
     total_admitted = sum(
-        simulation.passed(name, after_s=5.0) for name in ('large', 'medium', 'small')
+        simulation.admitted(name, after_s=5.0) for name in ('large', 'medium', 'small')
     )
     assert refused < total_admitted / 9
 
@@ -114,27 +119,29 @@
     for name in names:
         simulation.model.start(name)
     simulation.run_for(6)
-    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
+    assert simulation.max_admitted_in_window(
+        'large', DEFAULT_LIMIT_SETTINGS.window_s
+    ) <= max_in_window(LARGE)
 
 
 def test_before_the_fleet_size_is_known_an_instance_admits_one_request() -> None:
-    assert count_admitted(RequestLimiter(me='e1', terms=EXACT), 30, 1.0) == 1
+    assert count_admitted(RequestLimiter(instance='e1', settings=EXACT), 30, 1.0) == 1
 
 
 def test_counters_of_an_organisation_that_is_no_longer_declared_are_removed() -> None:
     limiter = single_limiter()
     count_admitted(limiter, 3, 1.0)
-    limiter.keep_only(build_organisation_index([]))
-    assert limiter.uses(1.0) == {}
+    limiter.retain_organisations(build_organisation_index([]))
+    assert limiter.usage_report(1.0) == {}
 
 
 def test_uses_round_trip_through_a_report_largest_first() -> None:
-    uses = {number: OrganisationUse(number, number + 1) for number in range(200)}
-    unpacked = unpack_uses(pack_uses(uses))
-    assert len(unpacked) == MAX_REPORTED_USES
-    assert unpacked[199] == OrganisationUse(199, 200)
+    usage = {number: OrganisationUsage(number, number + 1) for number in range(200)}
+    unpacked = decode_usage(encode_usage(usage))
+    assert len(unpacked) == MAX_REPORTED_USAGES
+    assert unpacked[199] == OrganisationUsage(199, 200)
     with pytest.raises(ValueError, match='too many'):
-        unpack_uses(pack_uses(uses) * 2)
+        decode_usage(encode_usage(usage) * 2)
 
 
 @given(
@@ -150,9 +157,12 @@
     All reachable instances have the same reports.
     """
     size = FleetSize(len(wanted) + silent, len(wanted))
-    fleet = OrganisationUse(sum(wanted), sum(wanted))
-    shares = [SharesByDemand().share(LimitState(allowance, count, fleet), size) for count in wanted]
-    held_by_silent = silent * allowance / size.counted
+    fleet = OrganisationUsage(sum(wanted), sum(wanted))
+    shares = [
+        DemandProportionalShares().share(LimitState(allowance, count, fleet), size)
+        for count in wanted
+    ]
+    held_by_silent = silent * allowance / size.known
     headroom = 0.0 if fleet.wanted >= allowance else len(wanted)
     assert sum(shares) + held_by_silent <= allowance + headroom + 0.001
 
@@ -167,15 +177,18 @@
 def max_in_window(organisation: Organisation) -> float:
     """Return the most requests that all instances may admit in a window, with tolerance."""
     assert organisation.limit is not None
-    limit = organisation.limit.max_requests(DEFAULT_TERMS.window_s)
-    return limit * (1 + DEFAULT_TERMS.over) + DEFAULT_TERMS.slack
+    limit = organisation.limit.max_requests(DEFAULT_LIMIT_SETTINGS.window_s)
+    return (
+        limit * (1 + DEFAULT_LIMIT_SETTINGS.overshoot_ratio)
+        + DEFAULT_LIMIT_SETTINGS.overshoot_requests
+    )
 
 
 def simulation_of(
     *flows: CallerFlow, shape: FleetShape = SIXTY_INSTANCES, seed: int = 1, **options: object
-) -> LimitPlay:
+) -> LimitSimulation:
     model = FleetModel(shape=shape._replace(seed=seed), **options)  # type: ignore[arg-type]
-    return LimitPlay(model=model, flows=flows, seed=seed)
+    return LimitSimulation(model=model, flows=flows, seed=seed)
 
 
 def test_little_of_usual_demand_is_refused_at_sixty_instances() -> None:
@@ -184,7 +197,7 @@
     by_equal_shares = simulation_of(*flows, share_rule=EqualShares)
     for simulation in (by_demand, by_equal_shares):
         simulation.run_for(15)
-    wanted = sum(by_demand.passed(flow.organisation.name) for flow in flows)
+    wanted = sum(by_demand.admitted(flow.organisation.name) for flow in flows)
     assert sum(by_demand.refused_by_organisation().values()) < wanted / 100
     assert sum(by_equal_shares.refused_by_organisation().values()) > wanted / 100
 
@@ -200,18 +213,22 @@
         usual_flow(organisation), usual_flow(organisation, times=5.5, begins_s=4.0)
     )
     simulation.run_for(14)
-    assert simulation.most_in_window(name, DEFAULT_TERMS.window_s) <= max_in_window(organisation)
+    assert simulation.max_admitted_in_window(
+        name, DEFAULT_LIMIT_SETTINGS.window_s
+    ) <= max_in_window(organisation)
     assert organisation.limit is not None
-    assert simulation.passed(name, after_s=6.0) >= 0.9 * 8.0 * organisation.limit.rate
+    assert simulation.admitted(name, after_s=6.0) >= 0.9 * 8.0 * organisation.limit.rate
 
 
 def test_a_hot_organisation_at_one_instance_gets_almost_its_whole_limit() -> None:
     hot = CallerFlow(LARGE, 600.0, instances=('r0-z0-3',))
     simulation = simulation_of(hot)
     simulation.run_for(20)
-    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
+    assert simulation.max_admitted_in_window(
+        'large', DEFAULT_LIMIT_SETTINGS.window_s
+    ) <= max_in_window(LARGE)
     assert LARGE.limit is not None
-    assert simulation.passed('large', after_s=6.0) >= 0.9 * 14.0 * LARGE.limit.rate
+    assert simulation.admitted('large', after_s=6.0) >= 0.9 * 14.0 * LARGE.limit.rate
 
 
 def test_a_hot_organisation_that_moves_between_instances_stays_within_its_limit() -> None:
@@ -221,7 +238,9 @@
     ]
     simulation = simulation_of(*moves)
     simulation.run_for(18)
-    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
+    assert simulation.max_admitted_in_window(
+        'large', DEFAULT_LIMIT_SETTINGS.window_s
+    ) <= max_in_window(LARGE)
 
 
 @pytest.mark.parametrize('seed', range(3))
@@ -237,7 +256,9 @@
         one.name not in isolated and other.name not in isolated
     )
     simulation.run_for(14)
-    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
+    assert simulation.max_admitted_in_window(
+        'large', DEFAULT_LIMIT_SETTINGS.window_s
+    ) <= max_in_window(LARGE)
 
 
 @pytest.mark.parametrize('seed', range(3))
@@ -247,7 +268,9 @@
     for turn, name in enumerate(names[seed::2]):
         simulation.model.after(2.0 + turn * 0.2, lambda name=name: simulation.model.start(name))
     simulation.run_for(12)
-    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
+    assert simulation.max_admitted_in_window(
+        'large', DEFAULT_LIMIT_SETTINGS.window_s
+    ) <= max_in_window(LARGE)
 
 
 def test_a_hot_organisation_stays_within_its_limit_while_all_relays_are_lost() -> None:
@@ -270,7 +293,7 @@
             instance.runs = False
     assert len(model.running()) == 48
     simulation.run_for(10)
-    return simulation.most_in_window('large', DEFAULT_TERMS.window_s)
+    return simulation.max_admitted_in_window('large', DEFAULT_LIMIT_SETTINGS.window_s)
 
 
 def test_an_isolated_instance_takes_an_equal_share_within_two_seconds() -> None:
@@ -278,9 +301,11 @@
     isolated = simulation.model.instance_by_name['r0-z0-0']
     simulation.model.passes = lambda one, other: 'r0-z0-0' not in (one.name, other.name)
     simulation.run_for(2.0)
-    assert fleet_size(isolated.members, simulation.model.now).reached == 1
-    usage = isolated.limiter.usage(build_organisation_index([LARGE]), simulation.model.now)['large']
-    assert usage.share == pytest.approx(DEFAULT_TERMS.allowance(usage.limit) / 12)
+    assert fleet_size(isolated.members, simulation.model.now).reporting == 1
+    usage = isolated.limiter.usage_by_organisation(
+        build_organisation_index([LARGE]), simulation.model.now
+    )['large']
+    assert usage.share == pytest.approx(DEFAULT_LIMIT_SETTINGS.allowance(usage.limit) / 12)
 
 
 FAULT_SEQUENCES = st.lists(
@@ -309,7 +334,9 @@
         _inject_fault(simulation.model, fault, names[number], partition)
         simulation.run_for(wait_s)
     simulation.run_for(4.0)
-    assert simulation.most_in_window('large', DEFAULT_TERMS.window_s) <= max_in_window(LARGE)
+    assert simulation.max_admitted_in_window(
+        'large', DEFAULT_LIMIT_SETTINGS.window_s
+    ) <= max_in_window(LARGE)
 
 
 def _inject_fault(model: FleetModel, fault: str, name: str, partition: set[str]) -> None:
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -4,20 +4,20 @@
 from entry_fixtures import SERVICE, route, table_of
 
 from plantainloft_core.outcomes import Invalid
-from plantainloft_node.placing.endpoints import EndpointBook
+from plantainloft_node.placing.endpoints import EndpointRegistry
 from plantainloft_node.placing.health import EndpointHealth
-from plantainloft_node.placing.pace import ServiceLatency, longest_wait_by_service
+from plantainloft_node.placing.pace import ServiceLatency, longest_timeout_by_service
 from plantainloft_node.replica.beliefs import Beliefs
 from plantainloft_node.replica.news import EndpointListed, NewsRow, RoutesDeclared
 
 NOW = 1000.0
 
 
-def latency_of(*answers: float, longest_wait_s: float = 4.0) -> ServiceLatency:
+def latency_of(*answers: float, longest_timeout_s: float = 4.0) -> ServiceLatency:
     latency = ServiceLatency()
-    latency.longest_wait_s = longest_wait_s
+    latency.longest_timeout_s = longest_timeout_s
     for took_s in answers:
-        latency.note_answer(took_s)
+        latency.record_response_time(took_s)
     return latency
 
 
@@ -29,16 +29,16 @@
     although such times are usual for the service.
     """
     health = EndpointHealth(latency=latency_of(1.4, 1.7, 1.2, 1.9, 1.5))
-    health.note_sent(1, NOW)
-    assert health.usable(NOW + 1.8)
-    assert not health.usable(NOW + 3.1)
+    health.record_sent(1, NOW)
+    assert health.is_usable(NOW + 1.8)
+    assert not health.is_usable(NOW + 3.1)
 
 
 def test_the_minimum_bound_applies_to_a_fast_service() -> None:
     health = EndpointHealth(latency=latency_of(*([0.05] * 200)))
-    health.note_sent(1, NOW)
-    assert health.usable(NOW + 0.8)
-    assert not health.usable(NOW + 1.0)
+    health.record_sent(1, NOW)
+    assert health.is_usable(NOW + 0.8)
+    assert not health.is_usable(NOW + 1.0)
 
 
 def test_under_overload_the_bound_stays_below_the_route_timeout() -> None:
@@ -47,13 +47,13 @@
     Under overload, answer times are long and vary widely; a bound that followed
     them without a limit would leave no time.
     """
-    latency = latency_of(*([0.2, 1.2] * 100), longest_wait_s=1.2)
-    assert latency.silent_after_s == pytest.approx(0.9)
+    latency = latency_of(*([0.2, 1.2] * 100), longest_timeout_s=1.2)
+    assert latency.max_silence_s == pytest.approx(0.9)
 
 
 def test_before_any_answer_the_bound_follows_the_route_timeout() -> None:
-    assert latency_of(longest_wait_s=4.0).silent_after_s == pytest.approx(3.0)
-    assert latency_of(longest_wait_s=0.4).silent_after_s == pytest.approx(0.9)
+    assert latency_of(longest_timeout_s=4.0).max_silence_s == pytest.approx(3.0)
+    assert latency_of(longest_timeout_s=0.4).max_silence_s == pytest.approx(0.9)
 
 
 def test_the_longest_route_timeout_of_a_service_applies() -> None:
@@ -61,15 +61,17 @@
         route(idempotent=True, prefix='/a/', timeout_s=1.5),
         route(idempotent=False, prefix='/b/', timeout_s=2.5),
     )
-    assert longest_wait_by_service(table) == {SERVICE: 2.5}
+    assert longest_timeout_by_service(table) == {SERVICE: 2.5}
 
 
 def test_a_declared_timeout_reaches_the_endpoints_health() -> None:
-    book = EndpointBook(region_by_zone={})
+    endpoint_registry = EndpointRegistry(region_by_zone={})
     table = table_of(route(idempotent=True, prefix='/a/', timeout_s=4.0))
 
     def decode(row: NewsRow) -> RoutesDeclared | EndpointListed | Invalid | None:
         return RoutesDeclared(table=table)
 
-    Beliefs(book=book, decode=decode).take([NewsRow('t', 'k', 1, b'')], NOW, source='store')
-    assert book.pace_of(SERVICE).silent_after_s == pytest.approx(3.0)
+    Beliefs(endpoint_registry=endpoint_registry, decode=decode).take(
+        [NewsRow('t', 'k', 1, b'')], NOW, source='store'
+    )
+    assert endpoint_registry.latency_of(SERVICE).max_silence_s == pytest.approx(3.0)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -9,17 +9,17 @@
 
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.routes import ServiceLimits, WeightedService
-from plantainloft_node.placing.budget import Allowance, RetryBudget, SlidingWindowCounter
+from plantainloft_node.placing.budget import RetryAllowance, RetryBudget, SlidingWindowCounter
 from plantainloft_node.placing.cold import cold_share
-from plantainloft_node.placing.endpoints import EndpointBook
+from plantainloft_node.placing.endpoints import EndpointRegistry
 from plantainloft_node.placing.placement import (
     NoCapacity,
     Placement,
     PlacementRequest,
-    PlacementTerms,
+    PlacementSettings,
     Selection,
 )
-from plantainloft_node.placing.splitting import SplitTurns
+from plantainloft_node.placing.splitting import SmoothWeightedRoundRobin
 
 NOW = 1000.0
 SERVICE_LIMITS = ServiceLimits(
@@ -41,20 +41,20 @@
 
 
 @pytest.fixture
-def book() -> EndpointBook:
-    book = EndpointBook(region_by_zone={'a': 'ankara', 'i': 'izmir'})
+def endpoint_registry() -> EndpointRegistry:
+    endpoint_registry = EndpointRegistry(region_by_zone={'a': 'ankara', 'i': 'izmir'})
     for number in range(6):
-        book.put(record(f'a{number}'), NOW)
-        book.put(record(f'i{number}', zone='i'), NOW)
-    for state in book.by_id.values():
-        state.note_report(busy=0, now=NOW)
-    return book
+        endpoint_registry.add_or_update(record(f'a{number}'), NOW)
+        endpoint_registry.add_or_update(record(f'i{number}', zone='i'), NOW)
+    for state in endpoint_registry.by_id.values():
+        state.record_load_report(busy=0, now=NOW)
+    return endpoint_registry
 
 
 @pytest.fixture
-def placement(book: EndpointBook) -> Placement:
-    terms = PlacementTerms(region='ankara', instance='e1', cold_over=1.5, cold_slack=5.0)
-    placement = Placement(terms=terms, book=book)
+def placement(endpoint_registry: EndpointRegistry) -> Placement:
+    settings = PlacementSettings(region='ankara', instance='e1', cold_over=1.5, cold_slack=5.0)
+    placement = Placement(settings=settings, endpoint_registry=endpoint_registry)
     placement.update_instances({f'e{number}': 'ankara' for number in range(12)})
     return placement
 
@@ -62,19 +62,24 @@
 def request(key: str = '7', **changes: object) -> PlacementRequest:
     """Return a placement request; ``changes`` may also set fields of its route."""
     tried = changes.pop('tried', frozenset())
-    left_s = changes.pop('left_s', 2.0)
-    return PlacementRequest(ROUTE._replace(**changes), SERVICE, key, frozenset(tried), left_s)  # type: ignore[arg-type,call-overload]
+    remaining_s = changes.pop('remaining_s', 2.0)
+    return PlacementRequest(ROUTE._replace(**changes), SERVICE, key, frozenset(tried), remaining_s)  # type: ignore[arg-type,call-overload]
 
 
 def chosen_id(placement: Placement, key: str = '7', **changes: object) -> str:
-    choice = placement.choose(request(key, **changes), SERVICE_LIMITS, NOW)
+    choice = placement.select_endpoint(request(key, **changes), SERVICE_LIMITS, NOW)
     assert isinstance(choice, Selection)
     return choice.endpoint.record.id
 
 
-def test_a_key_goes_to_the_same_endpoint_from_every_instance(book: EndpointBook) -> None:
-    all_terms = [PlacementTerms('ankara', f'e{number}', 1.5, 5.0) for number in range(4)]
-    placements = [Placement(terms=terms, book=book) for terms in all_terms]
+def test_a_key_goes_to_the_same_endpoint_from_every_instance(
+    endpoint_registry: EndpointRegistry,
+) -> None:
+    all_settings = [PlacementSettings('ankara', f'e{number}', 1.5, 5.0) for number in range(4)]
+    placements = [
+        Placement(settings=settings, endpoint_registry=endpoint_registry)
+        for settings in all_settings
+    ]
     for key in map(str, range(50)):
         assert len({chosen_id(placement, key) for placement in placements}) == 1
 
@@ -87,26 +92,30 @@
 
 
 def test_only_the_keys_of_an_endpoint_that_left_move(
-    placement: Placement, book: EndpointBook
+    placement: Placement, endpoint_registry: EndpointRegistry
 ) -> None:
     before = {key: chosen_id(placement, key) for key in map(str, range(200))}
-    book.drop('a3')
+    endpoint_registry.remove('a3')
     moved = {key for key, endpoint in before.items() if chosen_id(placement, key) != endpoint}
     assert moved == {key for key, endpoint in before.items() if endpoint == 'a3'}
 
 
-def spilled_of_100(placement: Placement, book: EndpointBook, at: float, *, full: int) -> int:
+def spilled_of_100(
+    placement: Placement, endpoint_registry: EndpointRegistry, at: float, *, full: int
+) -> int:
     """Place 100 requests with ``full`` queues of the own region full; count spilled ones."""
     for number in range(6):
-        book.by_id[f'a{number}'].note_report(busy=8 * (number < full), now=at)
-    choices = [placement.choose(request(str(key)), SERVICE_LIMITS, at) for key in range(100)]
+        endpoint_registry.by_id[f'a{number}'].record_load_report(busy=8 * (number < full), now=at)
+    choices = [
+        placement.select_endpoint(request(str(key)), SERVICE_LIMITS, at) for key in range(100)
+    ]
     return sum(
         isinstance(choice, Selection) and choice.endpoint.region == 'izmir' for choice in choices
     )
 
 
 def test_the_spilled_share_falls_slowly_after_startup(
-    placement: Placement, book: EndpointBook
+    placement: Placement, endpoint_registry: EndpointRegistry
 ) -> None:
     """Too much traffic must not change its region at once when spillover ends.
 
@@ -116,9 +125,10 @@
     seconds, where 15 in 100 may. With a limit on the fall that ended after ten
     seconds, 29 in 100 returned at that moment.
     """
-    placement.terms = placement.terms._replace(spill_step=0.1)
+    placement.settings = placement.settings._replace(max_spill_decrease=0.1)
     shares = [
-        spilled_of_100(placement, book, NOW + 2 * turn, full=0 if turn else 6) for turn in range(13)
+        spilled_of_100(placement, endpoint_registry, NOW + 2 * turn, full=0 if turn else 6)
+        for turn in range(13)
     ]
     assert shares[0] == 100
     assert shares[-1] == 0
@@ -127,17 +137,17 @@
 
 
 def test_long_after_startup_spilled_traffic_returns_at_once(
-    placement: Placement, book: EndpointBook
+    placement: Placement, endpoint_registry: EndpointRegistry
 ) -> None:
     shares = [
-        spilled_of_100(placement, book, NOW + 2 * turn, full=6 if turn == 7 else 0)
+        spilled_of_100(placement, endpoint_registry, NOW + 2 * turn, full=6 if turn == 7 else 0)
         for turn in range(9)
     ]
     assert shares == [*([0] * 7), 100, 0]
 
 
 def test_a_slow_endpoint_is_avoided_and_tried_again(
-    placement: Placement, book: EndpointBook
+    placement: Placement, endpoint_registry: EndpointRegistry
 ) -> None:
     """Slow endpoints must be avoided although they still answer.
 
@@ -148,81 +158,97 @@
     later = NOW + 30
     first = chosen_id(placement)
     for _ in range(50):
-        book.pace_of(SERVICE).note_answer(0.2)
+        endpoint_registry.latency_of(SERVICE).record_response_time(0.2)
     for _ in range(4):
-        book.by_id[first].note_given_up(1.0, later)
-    assert book.by_id[first].is_slow(later)
-    choice = placement.choose(request(), SERVICE_LIMITS, later)
+        endpoint_registry.by_id[first].record_abandoned(1.0, later)
+    assert endpoint_registry.by_id[first].is_slow(later)
+    choice = placement.select_endpoint(request(), SERVICE_LIMITS, later)
     assert isinstance(choice, Selection) and choice.endpoint.record.id != first
-    again = placement.choose(request(), SERVICE_LIMITS, later + 4)
+    again = placement.select_endpoint(request(), SERVICE_LIMITS, later + 4)
     assert isinstance(again, Selection) and again.endpoint.record.id == first
 
 
-def test_an_endpoint_that_warms_up_does_not_count_as_slow(book: EndpointBook) -> None:
-    book.put(record('new', cold_s=3.0), NOW)
-    state = book.by_id['new']
+def test_an_endpoint_that_warms_up_does_not_count_as_slow(
+    endpoint_registry: EndpointRegistry,
+) -> None:
+    endpoint_registry.add_or_update(record('new', cold_s=3.0), NOW)
+    state = endpoint_registry.by_id['new']
     for _ in range(50):
-        book.pace_of(SERVICE).note_answer(0.1)
+        endpoint_registry.latency_of(SERVICE).record_response_time(0.1)
     for _ in range(5):
-        state.note_answer(0.9, NOW + 6)
+        state.record_response_time(0.9, NOW + 6)
     assert not state.is_slow(NOW + 6)
 
 
 def test_load_is_bounded_and_spills_to_another_region(
-    placement: Placement, book: EndpointBook
+    placement: Placement, endpoint_registry: EndpointRegistry
 ) -> None:
     for number in range(6):
-        book.by_id[f'a{number}'].note_report(busy=8, now=NOW)
+        endpoint_registry.by_id[f'a{number}'].record_load_report(busy=8, now=NOW)
     assert chosen_id(placement).startswith('i')
 
 
-def test_the_lowest_priority_is_refused_first(placement: Placement, book: EndpointBook) -> None:
-    for state in book.by_id.values():
-        state.note_report(busy=7, now=NOW)
-    assert isinstance(placement.choose(request(priority=2), SERVICE_LIMITS, NOW), NoCapacity)
-    assert isinstance(placement.choose(request(priority=0), SERVICE_LIMITS, NOW), Selection)
+def test_the_lowest_priority_is_refused_first(
+    placement: Placement, endpoint_registry: EndpointRegistry
+) -> None:
+    for state in endpoint_registry.by_id.values():
+        state.record_load_report(busy=7, now=NOW)
+    assert isinstance(
+        placement.select_endpoint(request(priority=2), SERVICE_LIMITS, NOW), NoCapacity
+    )
+    assert isinstance(
+        placement.select_endpoint(request(priority=0), SERVICE_LIMITS, NOW), Selection
+    )
 
 
 def test_draining_evacuated_and_disallowed_endpoints_get_no_requests(
-    placement: Placement, book: EndpointBook
+    placement: Placement, endpoint_registry: EndpointRegistry
 ) -> None:
     first = chosen_id(placement)
-    book.put(book.by_id[first].record._replace(draining=True), NOW)
+    endpoint_registry.add_or_update(
+        endpoint_registry.by_id[first].record._replace(draining=True), NOW
+    )
     assert chosen_id(placement) != first
     assert chosen_id(placement, regions=frozenset(('izmir',))).startswith('i')
-    book.set_evacuated(frozenset(('a',)), warmup_s=3.0, now=NOW)
+    endpoint_registry.update_evacuated_zones(frozenset(('a',)), warmup_s=3.0, now=NOW)
     assert chosen_id(placement).startswith('i')
 
 
-def test_endpoints_are_cold_after_the_evacuation_of_their_zone_ends(book: EndpointBook) -> None:
+def test_endpoints_are_cold_after_the_evacuation_of_their_zone_ends(
+    endpoint_registry: EndpointRegistry,
+) -> None:
     """Endpoints must not get their full load right after an evacuation ends.
 
     They may have lost their caches while the zone was evacuated, without any row
     that says so, and crashed under the load.
     """
-    book.set_evacuated(frozenset(('a',)), warmup_s=3.0, now=NOW)
-    book.set_evacuated(frozenset(), warmup_s=3.0, now=NOW + 8)
-    assert book.by_id['a0'].is_cold(NOW + 10)
-    assert not book.by_id['i0'].is_cold(NOW + 10)
-    assert not book.by_id['a0'].is_cold(NOW + 12)
+    endpoint_registry.update_evacuated_zones(frozenset(('a',)), warmup_s=3.0, now=NOW)
+    endpoint_registry.update_evacuated_zones(frozenset(), warmup_s=3.0, now=NOW + 8)
+    assert endpoint_registry.by_id['a0'].is_cold(NOW + 10)
+    assert not endpoint_registry.by_id['i0'].is_cold(NOW + 10)
+    assert not endpoint_registry.by_id['a0'].is_cold(NOW + 12)
 
 
 @given(
-    bound=st.floats(min_value=1, max_value=500),
+    max_rate=st.floats(min_value=1, max_value=500),
     count=st.integers(min_value=1, max_value=120),
     endpoint_id=st.text(min_size=1, max_size=12),
 )
 def test_cold_shares_never_add_up_to_more_than_the_bound(
-    bound: float, count: int, endpoint_id: str
+    max_rate: float, count: int, endpoint_id: str
 ) -> None:
     regions = {f'e{number}': 'ai'[number % 2] for number in range(count)}
     shares = [
         cold_share(
-            bound=bound, me=name, region_by_instance=regions, endpoint_id=endpoint_id, region='a'
+            max_rate=max_rate,
+            instance=name,
+            region_by_instance=regions,
+            endpoint_id=endpoint_id,
+            region='a',
         )
         for name in regions
     ]
-    assert sum(shares) <= bound
+    assert sum(shares) <= max_rate
     assert max(shares) - min(shares) <= 1
 
 
@@ -237,7 +263,7 @@
     regions = {f'e{number}': 'abc'[number % 3] for number in range(60)}
     shares = {
         name: cold_share(
-            bound=21.5, me=name, region_by_instance=regions, endpoint_id='x', region='a'
+            max_rate=21.5, instance=name, region_by_instance=regions, endpoint_id='x', region='a'
         )
         for name in regions
     }
@@ -245,35 +271,39 @@
     assert {regions[name] for name, share in shares.items() if share} == {'a'}
 
 
-def test_a_cold_endpoint_gets_only_this_instances_share(book: EndpointBook) -> None:
-    book.put(record('cold', cold_s=3.0), NOW)
-    for name in [name for name in book.by_id if name != 'cold']:
-        book.drop(name)
-    terms = PlacementTerms(region='ankara', instance='e1', cold_over=1.5, cold_slack=5.0)
-    placement = Placement(terms=terms, book=book)
+def test_a_cold_endpoint_gets_only_this_instances_share(
+    endpoint_registry: EndpointRegistry,
+) -> None:
+    endpoint_registry.add_or_update(record('cold', cold_s=3.0), NOW)
+    for name in [name for name in endpoint_registry.by_id if name != 'cold']:
+        endpoint_registry.remove(name)
+    settings = PlacementSettings(region='ankara', instance='e1', cold_over=1.5, cold_slack=5.0)
+    placement = Placement(settings=settings, endpoint_registry=endpoint_registry)
     placement.update_instances({f'e{number}': 'ankara' for number in range(12)})
     sent = 0
     for step in range(100):
         now = NOW + step / 100
-        choice = placement.choose(request(), SERVICE_LIMITS, now)
+        choice = placement.select_endpoint(request(), SERVICE_LIMITS, now)
         if isinstance(choice, Selection):
-            placement.note_sent(choice.endpoint, now)
+            placement.record_sent(choice.endpoint, now)
             sent += 1
     assert 1 <= sent <= 2
 
 
 def test_failing_endpoints_are_ejected_and_used_again_later(
-    placement: Placement, book: EndpointBook
+    placement: Placement, endpoint_registry: EndpointRegistry
 ) -> None:
     first = chosen_id(placement)
-    health = book.by_id[first].health
-    while not health.note_failed(NOW):
+    health = endpoint_registry.by_id[first].health
+    while not health.record_failure(NOW):
         assert chosen_id(placement) == first
     assert chosen_id(placement) != first
-    assert health.usable(NOW + 1.5)
+    assert health.is_usable(NOW + 1.5)
 
 
-def test_a_silent_endpoint_is_avoided(placement: Placement, book: EndpointBook) -> None:
+def test_a_silent_endpoint_is_avoided(
+    placement: Placement, endpoint_registry: EndpointRegistry
+) -> None:
     """An endpoint that stops answering must be detected without any failure.
 
     It became silent while its connections stayed open. None of its requests
@@ -281,21 +311,21 @@
     out.
     """
     first = chosen_id(placement)
-    book.by_id[first].health.note_sent(1, NOW - 2)
+    endpoint_registry.by_id[first].health.record_sent(1, NOW - 2)
     assert chosen_id(placement) != first
-    book.by_id[first].health.note_ended(1)
+    endpoint_registry.by_id[first].health.record_ended(1)
     assert chosen_id(placement) == first
 
 
 def test_retries_of_all_instances_stay_within_the_allowance() -> None:
     budgets = [RetryBudget(window_s=10.0) for _ in range(12)]
-    allowance = Allowance(ratio=0.2, extra=64.0, instances=12)
+    allowance = RetryAllowance(ratio=0.2, fixed_retries=64.0, instances=12)
     retries = 0
     for step in range(1000):
         now = NOW + step / 100
         for budget in budgets:
-            budget.note_request(now)
-            retries += budget.take(now, allowance)
+            budget.record_request(now)
+            retries += budget.try_acquire(now, allowance)
     assert retries <= 0.2 * 12000 + 64
 
 
@@ -306,43 +336,43 @@
     callers was refused after one attempt, with half of the allowance unused.
     """
     budget = RetryBudget(window_s=10.0)
-    allowance = Allowance(ratio=0.2, extra=0.0, instances=12)
+    allowance = RetryAllowance(ratio=0.2, fixed_retries=0.0, instances=12)
     for step in range(1000):
-        budget.note_request(NOW + step / 100)
-    retries = sum(budget.take(NOW + 10, allowance) for _ in range(1000))
+        budget.record_request(NOW + step / 100)
+    retries = sum(budget.try_acquire(NOW + 10, allowance) for _ in range(1000))
     assert 0.8 * 200 <= retries <= 200
 
 
 def test_a_traffic_split_holds_over_few_requests() -> None:
-    turns = SplitTurns()
+    round_robin = SmoothWeightedRoundRobin()
     shares = (WeightedService('new', 10.0), WeightedService('old', 90.0))
     for count in (10, 50, 100):
-        chosen = [turns.next(shares) for _ in range(count)]
+        chosen = [round_robin.next_service(shares) for _ in range(count)]
         assert abs(chosen.count('new') - count / 10) <= 1
 
 
 def test_partly_failing_endpoints_are_used_when_most_of_them_fail(
-    placement: Placement, book: EndpointBook
+    placement: Placement, endpoint_registry: EndpointRegistry
 ) -> None:
     """Ejection must not leave a service without any endpoint that still answers.
 
     All endpoints of a service refused half of their requests. All were ejected,
     and every request was refused.
     """
-    for state in book.by_id.values():
-        while not state.health.note_failed(NOW):
+    for state in endpoint_registry.by_id.values():
+        while not state.health.record_failure(NOW):
             continue
-    assert isinstance(placement.choose(request(), SERVICE_LIMITS, NOW), NoCapacity)
-    placement.update_ejections(NOW)
-    assert isinstance(placement.choose(request(), SERVICE_LIMITS, NOW), Selection)
-    for state in book.by_id.values():
-        state.health.note_unreachable(NOW + 10)
-    placement.update_ejections(NOW + 10)
-    assert isinstance(placement.choose(request(), SERVICE_LIMITS, NOW + 10), NoCapacity)
+    assert isinstance(placement.select_endpoint(request(), SERVICE_LIMITS, NOW), NoCapacity)
+    placement.update_failing_services(NOW)
+    assert isinstance(placement.select_endpoint(request(), SERVICE_LIMITS, NOW), Selection)
+    for state in endpoint_registry.by_id.values():
+        state.health.record_unreachable(NOW + 10)
+    placement.update_failing_services(NOW + 10)
+    assert isinstance(placement.select_endpoint(request(), SERVICE_LIMITS, NOW + 10), NoCapacity)
 
 
 def test_a_request_is_not_queued_where_it_cannot_be_answered_in_time(
-    book: EndpointBook, placement: Placement
+    endpoint_registry: EndpointRegistry, placement: Placement
 ) -> None:
     """A request that would time out in a queue must be refused instead.
 
@@ -350,11 +380,13 @@
     endpoint are answered after 0.6 s. If it is queued, its caller waits until the
     timeout without learning the outcome, and a slot works for nobody.
     """
-    for state in book.by_id.values():
-        state.note_report(busy=4, now=NOW)
-    book.pace_of(SERVICE).note_answer(0.3)
-    assert isinstance(placement.choose(request(left_s=0.7), SERVICE_LIMITS, NOW), Selection)
-    refused = placement.choose(request(left_s=0.5), SERVICE_LIMITS, NOW)
+    for state in endpoint_registry.by_id.values():
+        state.record_load_report(busy=4, now=NOW)
+    endpoint_registry.latency_of(SERVICE).record_response_time(0.3)
+    assert isinstance(
+        placement.select_endpoint(request(remaining_s=0.7), SERVICE_LIMITS, NOW), Selection
+    )
+    refused = placement.select_endpoint(request(remaining_s=0.5), SERVICE_LIMITS, NOW)
     assert isinstance(refused, NoCapacity)
     assert refused.reason == 'no endpoint answers in time'
 
@@ -373,8 +405,8 @@
 
 
 def test_an_endpoint_whose_process_has_ended_gets_no_more_requests(
-    placement: Placement, book: EndpointBook
+    placement: Placement, endpoint_registry: EndpointRegistry
 ) -> None:
     ended = chosen_id(placement)
-    book.note_ended(book.by_id[ended].record.incarnation, NOW)
+    endpoint_registry.record_process_ended(endpoint_registry.by_id[ended].record.incarnation, NOW)
     assert chosen_id(placement) != ended
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -5,7 +5,7 @@
 
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.routes import CallerLimits, build_route_table
-from plantainloft_node.placing.endpoints import EndpointBook
+from plantainloft_node.placing.endpoints import EndpointRegistry
 from plantainloft_node.replica.beliefs import Beliefs
 from plantainloft_node.replica.news import (
     DECLARATIONS,
@@ -52,13 +52,13 @@
 
 
 @pytest.fixture
-def book() -> EndpointBook:
-    return EndpointBook(region_by_zone={'a': 'ankara'})
+def endpoint_registry() -> EndpointRegistry:
+    return EndpointRegistry(region_by_zone={'a': 'ankara'})
 
 
 @pytest.fixture
-def beliefs(book: EndpointBook) -> Beliefs:
-    return Beliefs(book=book, decode=decode)
+def beliefs(endpoint_registry: EndpointRegistry) -> Beliefs:
+    return Beliefs(endpoint_registry=endpoint_registry, decode=decode)
 
 
 def test_older_rows_never_replace_newer_ones() -> None:
@@ -94,7 +94,7 @@
 
 
 def test_an_endpoint_whose_row_expired_in_an_outage_stays_in_use(
-    beliefs: Beliefs, book: EndpointBook
+    beliefs: Beliefs, endpoint_registry: EndpointRegistry
 ) -> None:
     """Guards against losing all endpoints after an outage of the store.
 
@@ -106,18 +106,22 @@
     beliefs.take([row('i1', 3, None), row('i2', 4, None)], NOW + 1, source='store')
     beliefs.take([row('i1', 5)], NOW + 2, source='store')
     beliefs.tick(NOW + 1 + LAPSE_GRACE_S)
-    assert set(book.by_id) == {'i1'}
+    assert set(endpoint_registry.by_id) == {'i1'}
 
 
-def test_an_endpoint_that_left_is_dropped_at_once(beliefs: Beliefs, book: EndpointBook) -> None:
+def test_an_endpoint_that_left_is_dropped_at_once(
+    beliefs: Beliefs, endpoint_registry: EndpointRegistry
+) -> None:
     beliefs.take([row('i1', 1), row('i2', 2)], NOW, source='store')
     beliefs.take([row('i1', 3, None)], NOW, source='store')
     beliefs.store.note_failed(due_at=NOW)
     beliefs.take([row('i2', 4, b'draining'), row('i2', 5, None)], NOW + 1, source='store')
-    assert not book.by_id
+    assert not endpoint_registry.by_id
 
 
-def test_an_unreadable_row_replaces_a_valid_one(beliefs: Beliefs, book: EndpointBook) -> None:
+def test_an_unreadable_row_replaces_a_valid_one(
+    beliefs: Beliefs, endpoint_registry: EndpointRegistry
+) -> None:
     """Guards against using an endpoint whose row no longer describes it.
 
     Another writer overwrites the row with undecodable content. If such a row is
@@ -127,13 +131,13 @@
     beliefs.take([row('i1', 1), row('i2', 2), row('i3', 3)], NOW, source='store')
     beliefs.store.note_failed(due_at=NOW)
     beliefs.take([row('i1', 4, b'unreadable'), row('i3', 5)], NOW, source='store')
-    assert set(book.by_id) == {'i2', 'i3'}
+    assert set(endpoint_registry.by_id) == {'i2', 'i3'}
     beliefs.take([row('i1', 6)], NOW, source='store')
-    assert set(book.by_id) == {'i1', 'i2', 'i3'}
+    assert set(endpoint_registry.by_id) == {'i1', 'i2', 'i3'}
 
 
 def test_a_restarted_endpoint_does_not_inherit_the_state_of_its_id(
-    beliefs: Beliefs, book: EndpointBook
+    beliefs: Beliefs, endpoint_registry: EndpointRegistry
 ) -> None:
     """Guards against a cold endpoint that gets its full share and crashes.
 
@@ -141,15 +145,15 @@
     ejected or slow, and with requests in flight that ended with the predecessor.
     """
     beliefs.take([row('i1', 1, b'born 1000')], NOW, source='store')
-    before = book.by_id['i1']
+    before = endpoint_registry.by_id['i1']
     before.in_flight = 3
-    before.health.note_unreachable(NOW + 60)
+    before.health.record_unreachable(NOW + 60)
     beliefs.take([row('i1', 2, b'born 1000')], NOW + 60, source='store')
-    assert book.by_id['i1'] is before
+    assert endpoint_registry.by_id['i1'] is before
     beliefs.take([row('i1', 3, b'born 2000')], NOW + 61, source='store')
-    after = book.by_id['i1']
+    after = endpoint_registry.by_id['i1']
     assert after.record.incarnation != before.record.incarnation
-    assert after.is_cold(NOW + 62) and after.health.usable(NOW + 62)
+    assert after.is_cold(NOW + 62) and after.health.is_usable(NOW + 62)
     assert after.in_flight == 0 and not after.is_slow(NOW + 62)
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -13,7 +13,7 @@
 from plantainloft_node.entry.sharing import NewsSharing
 from plantainloft_node.entry.terms import local_member
 from plantainloft_node.fleet.members import GONE_AFTER_S, Beat, FleetMember, MemberBook
-from plantainloft_node.placing.affinity import score
+from plantainloft_node.placing.affinity import rendezvous_score
 from plantainloft_node.replica.news import INSTANCES, News
 from plantainloft_node.streams.links import PeerConnections
 from plantainloft_platform.store import PlatformStore
@@ -110,7 +110,11 @@
         now = anyio.current_time()
         # The names decide which live instance deregisters others. Choose a name for
         # which it is the local one.
-        gone = next(name for name in map(str, range(9)) if score(name, 'e1') > score(name, 'e2'))
+        gone = next(
+            name
+            for name in map(str, range(9))
+            if rendezvous_score(name, 'e1') > rendezvous_score(name, 'e2')
+        )
         members.hear(Beat(member(gone), True, False, {}, {}), now - GONE_AFTER_S - 1)
         members.hear(Beat(member('e2'), True, False, {}, {}), now)
         for name in (gone, 'e2'):
