--- a/bench/crash_plays.py
+++ b/bench/crash_plays.py
@@ -10,7 +10,7 @@
 
 import sys
 
-from plantainloft_node.quarantine.crashes import HOLD_S
+from plantainloft_node.quarantine.crashes import INITIAL_TRIAL_DELAY_S
 from plantainloft_standins.crash_draws import random_simulation
 
 DEFAULT_SEEDS = 50
@@ -20,7 +20,7 @@
 def main() -> None:
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEEDS
     exceeded = 0
-    shut_out_times_s = []
+    blocked_times_s = []
     for seed in range(seeds):
         simulation = random_simulation(seed)
         simulation.run()
@@ -29,17 +29,17 @@
             path: results.arrivals_after_propagation(path) for path in results.crashes_by_path
         }
         late_requests.pop('', None)
-        shut_out_times_s.append(results.longest_shut_out_s())
+        blocked_times_s.append(results.longest_blocked_s())
         if (
             max(late_requests.values(), default=0) > MAX_LATE_REQUESTS
-            or shut_out_times_s[-1] > HOLD_S
+            or blocked_times_s[-1] > INITIAL_TRIAL_DELAY_S
         ):
             exceeded += 1
             print(
-                f'seed {seed}: later {late_requests}, shut out for {shut_out_times_s[-1]:.1f} s',
+                f'seed {seed}: later {late_requests}, shut out for {blocked_times_s[-1]:.1f} s',
                 flush=True,
             )
-    print(f'{seeds} seeds, {exceeded} not allowed; longest shut out {max(shut_out_times_s):.1f} s')
+    print(f'{seeds} seeds, {exceeded} not allowed; longest shut out {max(blocked_times_s):.1f} s')
 
 
 if __name__ == '__main__':
--- a/bench/starting.py
+++ b/bench/starting.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import anyio
-from platform_standin import OPERATOR, EntryProcessHandle, config, running_store
+from platform_standin import OPERATOR_TABLE, EntryProcessHandle, make_configuration, running_store
 
 STARTS = 7
 TICKS_PER_S = os.sysconf('SC_CLK_TCK')
@@ -30,7 +30,7 @@
             env={
                 'PATH': os.environ['PATH'],
                 'PYTHONPATH': 'target/deps',
-                'PLANTAINLOFT_CONFIG': str(self.settings),
+                'PLANTAINLOFT_CONFIG': str(self.settings_path),
             },
             stdout=self._log,
             stderr=subprocess.STDOUT,
@@ -52,13 +52,13 @@
     """Print medians over ``STARTS`` starts."""
     cpu_s, wall_s, peak_sizes_mb = [], [], []
     async with running_store() as (store, _):
-        store.put(OPERATOR, 'config', config(3))
+        store.put(OPERATOR_TABLE, 'config', make_configuration(3))
         for _ in range(STARTS):
             work_dir = Path(tempfile.mkdtemp())
-            entry = DeployedProcess(number=99, store=store.address, work_dir=work_dir)
+            entry = DeployedProcess(number=99, store_address=store.address, work_dir=work_dir)
             started_at = time.monotonic()
             entry.start()
-            await entry.until_ready()
+            await entry.wait_until_ready()
             wall_s.append(time.monotonic() - started_at)
             cpu_s.append(entry.cpu_seconds())
             peak_sizes_mb.append(entry.peak_mb())
--- a/packages/ctl/src/plantainloft_ctl/burn.py
+++ b/packages/ctl/src/plantainloft_ctl/burn.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
 
-__all__ = ['BurnRow', 'burn_rows', 'format_burn']
+__all__ = ['BurnRow', 'compute_burn_rates', 'format_burn']
 
 GOOD_SHARE_OBJECTIVE = 0.999
 
@@ -31,7 +31,7 @@
     p99_ms: float
 
 
-def burn_rows(
+def compute_burn_rates(
     statuses: Sequence[Mapping[str, Any]], *, objective: float = GOOD_SHARE_OBJECTIVE
 ) -> list[BurnRow]:
     """Aggregate node statuses into one row per service, sorted by service name."""
--- a/packages/ctl/src/plantainloft_ctl/commands/burn.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/burn.py
@@ -8,7 +8,7 @@
 import cappa
 import httpx
 
-from plantainloft_ctl.burn import burn_rows, format_burn
+from plantainloft_ctl.burn import compute_burn_rates, format_burn
 from plantainloft_ctl.plot import plot_burn
 
 __all__ = ['Burn']
@@ -37,7 +37,7 @@
                     f'burn: no response from {url} ({type(exc).__name__})',
                     file=sys.stderr,
                 )
-        rows = burn_rows(statuses)
+        rows = compute_burn_rates(statuses)
         print(format_burn(rows))
         if self.plot is not None:
             plot_burn(rows, self.plot)
--- a/packages/ctl/src/plantainloft_ctl/commands/organisations.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/organisations.py
@@ -12,9 +12,9 @@
 from plantainloft_core.organisations import digest_key
 from plantainloft_ctl.common import EXIT_FAILED
 from plantainloft_ctl.organisations import (
+    aggregate_organisations,
     find_key_holders,
     format_organisation_table,
-    organisation_rows,
 )
 from plantainloft_ctl.plot import plot_organisations
 
@@ -51,7 +51,7 @@
             ).items():
                 print(f'{node}: {", ".join(holders) or "nobody"}')
             return
-        rows = organisation_rows(organisations_by_instance)
+        rows = aggregate_organisations(organisations_by_instance)
         print('\n'.join(format_organisation_table(rows)))
         if self.plot is not None:
             plot_organisations(rows, self.plot)
--- a/packages/ctl/src/plantainloft_ctl/organisations.py
+++ b/packages/ctl/src/plantainloft_ctl/organisations.py
@@ -7,7 +7,12 @@
 OrganisationEntry = Mapping[str, Any]
 InstanceListing = Sequence[OrganisationEntry]
 
-__all__ = ['OrganisationRow', 'find_key_holders', 'format_organisation_table', 'organisation_rows']
+__all__ = [
+    'OrganisationRow',
+    'aggregate_organisations',
+    'find_key_holders',
+    'format_organisation_table',
+]
 
 HEADINGS = ('organisation', 'keys', 'rate', 'burst', 'used', 'wanted', 'refused', 'most at')
 
@@ -32,7 +37,7 @@
     share_by_instance: Mapping[str, float]
 
 
-def organisation_rows(
+def aggregate_organisations(
     organisations_by_instance: Mapping[str, InstanceListing],
 ) -> list[OrganisationRow]:
     """Return one row per organisation, sorted by name."""
--- a/packages/node/src/plantainloft_node/app.py
+++ b/packages/node/src/plantainloft_node/app.py
@@ -183,7 +183,7 @@
         )
 
     async def list_quarantined(request: HttpRequest) -> Response:
-        return JSONResponse(node.forwarder.quarantine.listing(anyio.current_time()))
+        return JSONResponse(node.forwarder.quarantine.list_entries(anyio.current_time()))
 
     async def lift_quarantine(request: HttpRequest) -> Response:
         fingerprint = parse_fingerprint(request.query_params.get('request', ''))
--- a/packages/node/src/plantainloft_node/engine/attempts.py
+++ b/packages/node/src/plantainloft_node/engine/attempts.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from plantainloft_node.engine.endpoint_link import ResponseHead, UpstreamConnection
-from plantainloft_node.quarantine.crash_checks import EndpointRun
+from plantainloft_node.quarantine.crash_checks import EndpointAttempt
 
 __all__ = [
     'Answered',
@@ -124,8 +124,8 @@
         # The endpoints considered before a refusal, with their estimated loads.
         self.candidate_loads = ''
         self.placement: PlacementDetails | None = None
-        # The endpoint run whose response is still being streamed to the caller.
-        self.streamed_run: EndpointRun | None = None
+        # The attempt whose response is still being streamed to the caller.
+        self.streamed_attempt: EndpointAttempt | None = None
 
     def record(
         self, endpoint_id: str, outcome: AttemptOutcome, *, may_have_run_before: bool
--- a/packages/node/src/plantainloft_node/engine/dispatch.py
+++ b/packages/node/src/plantainloft_node/engine/dispatch.py
@@ -34,10 +34,10 @@
 from plantainloft_node.placing.demand import DemandMeter
 from plantainloft_node.placing.placement import NoCapacity, Placement, PlacementRequest, Selection
 from plantainloft_node.placing.splitting import SmoothWeightedRoundRobin
-from plantainloft_node.quarantine.crash_book import CrashBook
-from plantainloft_node.quarantine.crash_checks import CrashChecks, EndpointRun
-from plantainloft_node.quarantine.fingerprints import RequestFingerprint, fingerprint_of
-from plantainloft_node.quarantine.quarantine import Admission, Admitted, Quarantine, ShutOut
+from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crash_checks import CrashDetector, EndpointAttempt
+from plantainloft_node.quarantine.fingerprints import RequestFingerprint, compute_fingerprint
+from plantainloft_node.quarantine.quarantine import AdmissionDecision, Admitted, Blocked, Quarantine
 
 __all__ = ['AdmittedRequest', 'Dispatcher', 'RetryLimits', 'refusal_with_retry_after']
 
@@ -87,11 +87,11 @@
         placement: Placement,
         sender: Sender,
         retry_limits: RetryLimits,
-        crash_checks: CrashChecks,
+        crash_detector: CrashDetector,
         quarantine: Quarantine,
     ) -> None:
         self._names = names
-        self._crash_checks = crash_checks
+        self._crash_detector = crash_detector
         self._quarantine = quarantine
         self._placement = placement
         self._sender = sender
@@ -101,9 +101,9 @@
         self.demand = DemandMeter()
 
     @property
-    def crash_registry(self) -> CrashBook:
+    def crash_registry(self) -> CrashRegistry:
         """The crashes of endpoints, by the request that caused them."""
-        return self._quarantine.book
+        return self._quarantine.crash_registry
 
     def remaining_retry_budgets(self, now: float) -> dict[str, float]:
         """Return the remaining retry budget of each service."""
@@ -114,14 +114,14 @@
 
     async def dispatch(
         self, admitted: AdmittedRequest, route_table: RouteTable, attempts: Attempts
-    ) -> Answered | Refusal | Failed | ShutOut:
+    ) -> Answered | Refusal | Failed | Blocked:
         """Return the response, or why there is none.
 
         May be cancelled at any time; ``attempts`` then tells whether the request may
         have run.
         """
         admission = await self._admit(admitted)
-        if isinstance(admission, ShutOut):
+        if isinstance(admission, Blocked):
             return admission
         # The same request has crashed endpoints before and could crash another one.
         send_once = admission != Admitted()
@@ -144,15 +144,15 @@
                     refusal_with_retry_after('; '.join(attempts.failure_reasons())), attempts
                 )
 
-    def record_streamed_response(self, run: EndpointRun, *, complete: bool) -> None:
-        """Record how the streamed response of ``run`` ended."""
+    def record_streamed_response(self, attempt: EndpointAttempt, *, complete: bool) -> None:
+        """Record how the streamed response of ``attempt`` ended."""
         if complete:
-            self._quarantine.note_answered(run.request, anyio.current_time())
+            self._quarantine.record_answer(attempt.fingerprint, anyio.current_time())
         else:
-            self._crash_checks.note_broken(run)
+            self._crash_detector.check_after_disconnect(attempt)
 
-    async def _admit(self, admitted: AdmittedRequest) -> Admission:
-        if not self._quarantine.book:
+    async def _admit(self, admitted: AdmittedRequest) -> AdmissionDecision:
+        if not self._quarantine.crash_registry:
             return Admitted()
         return await self._quarantine.admit(self._fingerprint(admitted))
 
@@ -199,9 +199,9 @@
         if outcome.head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             return
         if outcome.body_source is None:
-            self._quarantine.note_answered(self._fingerprint(admitted), anyio.current_time())
+            self._quarantine.record_answer(self._fingerprint(admitted), anyio.current_time())
         else:
-            attempts.streamed_run = self._endpoint_run(admitted, selection)
+            attempts.streamed_attempt = self._endpoint_attempt(admitted, selection)
 
     def _note_unanswered(
         self, admitted: AdmittedRequest, selection: Selection, outcome: NotSent | NotRun | Failed
@@ -214,15 +214,15 @@
             'reason': outcome.reason,
         }
         if isinstance(outcome, Failed) and outcome.connection_lost:
-            run = self._endpoint_run(admitted, selection)
-            fields['fingerprint'] = str(run.request)
-            self._crash_checks.note_broken(run)
+            attempt = self._endpoint_attempt(admitted, selection)
+            fields['fingerprint'] = str(attempt.fingerprint)
+            self._crash_detector.check_after_disconnect(attempt)
         log.info('Front: attempt failed.', extra={'kind': 'try', 'fields': fields})
 
-    def _endpoint_run(self, admitted: AdmittedRequest, selection: Selection) -> EndpointRun:
+    def _endpoint_attempt(self, admitted: AdmittedRequest, selection: Selection) -> EndpointAttempt:
         record = selection.endpoint.record
-        return EndpointRun(
-            request=self._fingerprint(admitted),
+        return EndpointAttempt(
+            fingerprint=self._fingerprint(admitted),
             request_id=request_id(admitted.exchange, self._names),
             incarnation=record.incarnation,
             address=record.address,
@@ -231,7 +231,7 @@
     def _fingerprint(self, admitted: AdmittedRequest) -> RequestFingerprint:
         exchange = admitted.exchange
         credentials = (exchange.header(name) or b'' for name in self._names.credential_headers)
-        return fingerprint_of(
+        return compute_fingerprint(
             method=exchange.method,
             host=exchange.header(b'host') or b'',
             target=exchange.target,
@@ -246,7 +246,7 @@
         """Return whether a request that may have run may be sent again."""
         if not admitted.route.idempotent or not admitted.body_complete:
             return False
-        if self._quarantine.book.standing(
+        if self._quarantine.crash_registry.summary_for(
             self._fingerprint(admitted), anyio.current_time()
         ).is_quarantined:
             return False
--- a/packages/node/src/plantainloft_node/engine/front.py
+++ b/packages/node/src/plantainloft_node/engine/front.py
@@ -20,7 +20,7 @@
 from plantainloft_node.engine.heads import find_cookie
 from plantainloft_node.engine.replies import DEADLINE_EXCEEDED, ResponseSender, request_id
 from plantainloft_node.limits.limiter import RequestLimiter
-from plantainloft_node.quarantine.quarantine import ShutOut
+from plantainloft_node.quarantine.quarantine import Blocked
 
 __all__ = ['ForwardingHandler']
 
@@ -113,7 +113,7 @@
         name = organisation.name if organisation else ''
         context = RequestContext(self._affinity_key(exchange), route_table.version, name)
         attempts = Attempts(context=context)
-        outcome: Answered | Refusal | Failed | ShutOut | None = None
+        outcome: Answered | Refusal | Failed | Blocked | None = None
         cancelled = anyio.get_cancelled_exc_class()
         try:
             with anyio.move_on_at(deadline):
--- a/packages/node/src/plantainloft_node/engine/replies.py
+++ b/packages/node/src/plantainloft_node/engine/replies.py
@@ -16,8 +16,8 @@
 from plantainloft_node.engine.exchange import Exchange
 from plantainloft_node.engine.heads import Headers, forwardable_headers
 from plantainloft_node.limits.limiter import LimitExceeded
-from plantainloft_node.quarantine.crash_checks import EndpointRun
-from plantainloft_node.quarantine.quarantine import ShutOut
+from plantainloft_node.quarantine.crash_checks import EndpointAttempt
+from plantainloft_node.quarantine.quarantine import Blocked
 
 __all__ = ['DEADLINE_EXCEEDED', 'ResponseSender', 'request_id']
 
@@ -35,9 +35,9 @@
 
 
 class StreamObserver(Protocol):
-    """Receives how the streamed response of an endpoint run ended."""
+    """Receives how the streamed response of an attempt ended."""
 
-    def __call__(self, run: EndpointRun, *, complete: bool) -> None:
+    def __call__(self, attempt: EndpointAttempt, *, complete: bool) -> None:
         """``complete``: the response reached its end."""
 
 
@@ -124,7 +124,7 @@
         self,
         exchange: Exchange,
         route: Route,
-        outcome: Answered | Refusal | Failed | ShutOut,
+        outcome: Answered | Refusal | Failed | Blocked,
         attempts: Attempts,
     ) -> None:
         """Send the response that corresponds to ``outcome``."""
@@ -143,10 +143,10 @@
             fields['endpoints'] = attempts.candidate_loads
             self._log_outcome(exchange, 'refused', fields)
             await self.respond_refused(exchange, outcome)
-        elif isinstance(outcome, ShutOut):
+        elif isinstance(outcome, Blocked):
             self._record_outcome(route.name, 'quarantined', elapsed_s)
-            fields['fingerprint'] = str(outcome.request)
-            fields['crashes'] = outcome.crashes
+            fields['fingerprint'] = str(outcome.fingerprint)
+            fields['crashes'] = outcome.crash_count
             self._log_outcome(exchange, 'quarantined', fields)
             # No Retry-After: a repeated request would be refused again.
             await self._respond_empty(exchange, HTTPStatus.BAD_GATEWAY)
@@ -196,8 +196,8 @@
         self._report_streamed(attempts, complete=True)
 
     def _report_streamed(self, attempts: Attempts, *, complete: bool) -> None:
-        if attempts.streamed_run is not None:
-            self._on_streamed(attempts.streamed_run, complete=complete)
+        if attempts.streamed_attempt is not None:
+            self._on_streamed(attempts.streamed_attempt, complete=complete)
 
     async def _stream(
         self, exchange: Exchange, outcome: Answered, connection: UpstreamConnection
--- a/packages/node/src/plantainloft_node/entry/decision_log.py
+++ b/packages/node/src/plantainloft_node/entry/decision_log.py
@@ -5,7 +5,7 @@
 import os
 from typing import Any
 
-__all__ = ['JsonFormatter', 'NonBlockingStream', 'RateLimitFilter', 'setup_decision_log']
+__all__ = ['JsonFormatter', 'NonBlockingStream', 'RateLimitFilter', 'setup_structured_logging']
 
 STANDARD_OUTPUT = 1
 # Output kept while the reader is slow; lines beyond it are dropped and counted.
@@ -105,7 +105,7 @@
         """Do nothing: ``write`` has already written all that the reader accepts."""
 
 
-def setup_decision_log(*, level: str, instance: str) -> None:
+def setup_structured_logging(*, level: str, instance: str) -> None:
     """Configure the root logger to write JSON lines to standard output."""
     handler = logging.StreamHandler(NonBlockingStream(descriptor=STANDARD_OUTPUT))
     handler.setFormatter(JsonFormatter(instance=instance))
--- a/packages/node/src/plantainloft_node/entry/fleet_parts.py
+++ b/packages/node/src/plantainloft_node/entry/fleet_parts.py
@@ -6,30 +6,30 @@
 from anyio.abc import TaskGroup
 
 from plantainloft_node.entry.instance_list import InstanceRegistry
-from plantainloft_node.entry.observing import Observation
+from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.peer_calls import PeerCalls
 from plantainloft_node.entry.settings import EntrySettings
-from plantainloft_node.entry.sharing import MEMBERS_CALL, NEWS_CALL, SMALL_NEWS_CALL, NewsSharing
+from plantainloft_node.entry.sharing import MEMBERS_CALL, ROWS_CALL, SMALL_ROWS_CALL, RowReplication
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
 from plantainloft_node.entry.terms import seed_addresses
 from plantainloft_node.fleet.beats import BeatExchange
 from plantainloft_node.fleet.members import Beat, MemberBook
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 from plantainloft_node.replica.rows import RowCopy
 
 __all__ = ['start_fleet_tasks']
 
 # Row changes within this pause are announced to peers together.
-NEWS_PAUSE_S = 0.1
+ROW_CHANGE_DEBOUNCE_S = 0.1
 
 
 def start_fleet_tasks(
     *,
     settings: EntrySettings,
     members: MemberBook,
-    observation: Observation,
+    replicated_state: ReplicatedState,
     state: Callable[[], Beat],
-    crashes: CrashBook,
+    crash_registry: CrashRegistry,
     tasks: TaskGroup,
 ) -> BeatExchange:
     """Start heartbeats, peer calls, store probes and instance registration.
@@ -38,24 +38,26 @@
     exchange, which the caller uses to send heartbeats out of turn.
     """
     calls = PeerCalls(settings=settings, tasks=tasks)
-    sharing = NewsSharing(calls=calls, members=members, observation=observation, tasks=tasks)
-    probes = StoreProbes(calls=calls, members=members, observation=observation)
+    row_replication = RowReplication(
+        calls=calls, members=members, replicated_state=replicated_state, tasks=tasks
+    )
+    probes = StoreProbes(calls=calls, members=members, replicated_state=replicated_state)
     heartbeats = BeatExchange(
         members=members,
         state=state,
-        on_hint=sharing.on_hint,
+        on_update_hint=row_replication.on_update_hint,
         seeds=seed_addresses(settings),
-        crashes=crashes,
+        crash_registry=crash_registry,
     )
-    instances = InstanceRegistry(members=members, store=observation.store)
+    instances = InstanceRegistry(members=members, store=replicated_state.store)
     handler_by_kind = {
-        NEWS_CALL: sharing.tell,
-        SMALL_NEWS_CALL: sharing.tell_small,
-        MEMBERS_CALL: sharing.tell_members,
-        PROBE_CALL: probes.tell,
+        ROWS_CALL: row_replication.answer_rows_call,
+        SMALL_ROWS_CALL: row_replication.answer_small_rows_call,
+        MEMBERS_CALL: row_replication.answer_members_call,
+        PROBE_CALL: probes.answer_probe_call,
     }
     tasks.start_soon(calls.serve, handler_by_kind)
-    tasks.start_soon(_announce_row_changes, observation.rows, heartbeats)
+    tasks.start_soon(_announce_row_changes, replicated_state.rows, heartbeats)
     for part in (heartbeats, probes, instances):
         tasks.start_soon(part.run)
     return heartbeats
@@ -66,4 +68,4 @@
     while True:
         await rows.change()
         await heartbeats.tell_readers()
-        await anyio.sleep(NEWS_PAUSE_S)
+        await anyio.sleep(ROW_CHANGE_DEBOUNCE_S)
--- a/packages/node/src/plantainloft_node/entry/instance_list.py
+++ b/packages/node/src/plantainloft_node/entry/instance_list.py
@@ -6,7 +6,7 @@
 import msgpack
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.entry.polling import StoreDuty
+from plantainloft_node.entry.polling import PollingPolicy
 from plantainloft_node.fleet.members import FleetMember, MemberBook
 from plantainloft_node.placing.affinity import rendezvous_score
 from plantainloft_node.replica.news import INSTANCES, News, NewsRow, NewsStore
@@ -29,7 +29,7 @@
     def __init__(self, *, members: MemberBook, store: NewsStore) -> None:
         self._members = members
         self._store = store
-        self._polling = StoreDuty(members=members)
+        self._polling = PollingPolicy(members=members)
 
     async def run(self) -> None:
         """Register, then read the list at intervals until cancelled."""
@@ -40,7 +40,7 @@
                 await anyio.sleep(LIST_RETRY_DELAY_S)
                 continue
             await self._apply_listing(listed)
-            delegates = self._polling.rests(anyio.current_time())
+            delegates = self._polling.delegates_polling(anyio.current_time())
             await anyio.sleep(DELEGATED_LIST_INTERVAL_S if delegates else LIST_INTERVAL_S)
 
     async def _apply_listing(self, listed: News) -> None:
--- a/packages/node/src/plantainloft_node/entry/observing.py
+++ b/packages/node/src/plantainloft_node/entry/observing.py
@@ -9,7 +9,7 @@
 from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS, NewsStore
 from plantainloft_node.replica.rows import RowCopy
 
-__all__ = ['Observation']
+__all__ = ['ReplicatedState']
 
 # Longer times of uninterrupted service are reported as this; no decision depends
 # on the difference.
@@ -25,7 +25,7 @@
     return False
 
 
-class Observation:
+class ReplicatedState:
     """The local copy of the store's rows, its followers, and the state derived from it."""
 
     def __init__(
@@ -33,33 +33,33 @@
         *,
         store: NewsStore,
         region_by_zone: dict[str, str],
-        wait_s: Callable[[], float],
-        rests: Callable[[], bool] = _never,
+        long_poll_wait_s: Callable[[], float],
+        delegates_polling: Callable[[], bool] = _never,
     ) -> None:
         """Create an empty copy.
 
-        ``wait_s`` returns how long a poll of the store waits for a change.
-        ``rests`` returns whether relays poll the store for this instance.
+        ``long_poll_wait_s`` returns how long a poll of the store waits for a change.
+        ``delegates_polling`` returns whether relays poll the store for this instance.
         """
-        self._is_polled_by_others = rests
+        self._is_polled_by_others = delegates_polling
         self.store = store
         self.endpoint_registry = EndpointRegistry(region_by_zone=region_by_zone)
         self.rows = RowCopy()
-        self.beliefs = Beliefs(endpoint_registry=self.endpoint_registry, decode=store.decode)
+        self.routing_state = Beliefs(endpoint_registry=self.endpoint_registry, decode=store.decode)
         self.followers = {
             table: TableFollower(
                 table=table,
                 store=store,
                 rows=self.rows,
-                beliefs=self.beliefs,
+                routing_state=self.routing_state,
                 pause_s=pause_s,
-                wait_s=wait_s,
-                rests=self.rests if table == ENDPOINTS else _never,
+                long_poll_wait_s=long_poll_wait_s,
+                delegates_polling=self.delegates_polling if table == ENDPOINTS else _never,
             )
             for table, pause_s in POLL_PAUSE_S_BY_TABLE.items()
         }
 
-    def rests(self) -> bool:
+    def delegates_polling(self) -> bool:
         """Return whether relays poll the table of endpoints for this instance.
 
         The instance keeps polling the declarations itself: after one of its own
@@ -68,15 +68,17 @@
         """
         return self._is_polled_by_others()
 
-    def follows(self) -> bool:
+    def polls_successfully(self) -> bool:
         """Return whether this instance polls both tables itself and both polls succeed."""
         followers = self.followers.values()
-        return not self.rests() and all(one.in_touch and one.has_listed for one in followers)
+        return not self.delegates_polling() and all(
+            one.in_touch and one.has_listed for one in followers
+        )
 
-    def store_served_s(self, now: float) -> float | None:
+    def store_available_for_s(self, now: float) -> float | None:
         """Return for how long the store has been available, at most an hour.
 
         ``None`` while it is not.
         """
-        served_s = self.beliefs.store.served_s(now)
+        served_s = self.routing_state.store.served_s(now)
         return None if served_s is None else min(served_s, MAX_SERVED_S)
--- a/packages/node/src/plantainloft_node/entry/operating.py
+++ b/packages/node/src/plantainloft_node/entry/operating.py
@@ -40,7 +40,7 @@
     def reply(self, exchange: Exchange) -> tuple[int, bytes]:
         """Return the status and body of the response."""
         if exchange.path == '/quarantine':
-            listed = self._quarantine.listing(anyio.current_time())
+            listed = self._quarantine.list_entries(anyio.current_time())
             return HTTPStatus.OK, json.dumps(listed).encode()
         if exchange.path == '/quarantine/lift' and exchange.method == b'POST':
             return self._lift(parse_qs(exchange.query).get('request', [''])[0])
--- a/packages/node/src/plantainloft_node/entry/peer_calls.py
+++ b/packages/node/src/plantainloft_node/entry/peer_calls.py
@@ -24,14 +24,14 @@
     """Calls other instances and serves their calls."""
 
     def __init__(self, *, settings: EntrySettings, tasks: TaskGroup) -> None:
-        self._control = settings.control
+        self._peer_call_address = settings.peer_call_address
         self._peer_traffic = PeerTrafficCounter()
         self._peer_connections = PeerConnections(tasks=tasks, peer_traffic=self._peer_traffic)
 
     async def call(self, member: FleetMember, kind: str, content: Any) -> Any | Unreachable:
         """Call ``member`` and return the content of its answer, or ``Unreachable``."""
         host = member.front.rpartition(':')[0]
-        address = f'{host}:{self._control.rpartition(":")[2]}'
+        address = f'{host}:{self._peer_call_address.rpartition(":")[2]}'
         answer = await self._peer_connections.call(address, kind, content, timeout_s=CALL_TIMEOUT_S)
         if isinstance(answer, Unreachable):
             log.info(
@@ -43,4 +43,4 @@
 
     async def serve(self, handler_by_kind: Mapping[str, FrameHandler]) -> None:
         """Answer calls of other instances until cancelled."""
-        await serve_peers(self._control, handler_by_kind, peer_traffic=self._peer_traffic)
+        await serve_peers(self._peer_call_address, handler_by_kind, peer_traffic=self._peer_traffic)
--- a/packages/node/src/plantainloft_node/entry/polling.py
+++ b/packages/node/src/plantainloft_node/entry/polling.py
@@ -18,7 +18,7 @@
 from plantainloft_node.fleet.ranking import RELAYS, is_answering, ranked_in
 from plantainloft_node.placing.affinity import rendezvous_score
 
-__all__ = ['LONG_WAIT_S', 'SHORT_WAIT_S', 'StoreDuty', 'poll_wait_s']
+__all__ = ['LONG_WAIT_S', 'SHORT_WAIT_S', 'PollingPolicy', 'poll_wait_s']
 
 # From 4 s after the end of an outage, the departure of an endpoint and a new
 # configuration must take effect within 2.5 s of their acknowledgement. A lost
@@ -39,7 +39,7 @@
 STARTUP_GRACE_S = 1.5
 
 
-class StoreDuty:
+class PollingPolicy:
     """Decides whether this instance polls the endpoints or delegates it to relays."""
 
     def __init__(self, *, members: MemberBook) -> None:
@@ -47,7 +47,7 @@
         self._started_at: float | None = None
         self._unpolled_since: float | None = None
 
-    def rests(self, now: float) -> bool:
+    def delegates_polling(self, now: float) -> bool:
         """Return whether relays poll the endpoints for this instance.
 
         While none does so successfully, the other instances of the availability
@@ -66,7 +66,7 @@
         stagger_s = STAGGER_S * min(rank, MAX_STAGGERED_RANK)
         return now - self._unpolled_since < stagger_s
 
-    def wait_s(self, now: float) -> float:
+    def long_poll_wait_s(self, now: float) -> float:
         """Return how long a poll of the store waits for a change, in seconds."""
         if self._ranked_in_zone(now).index(self._members.me) < RELAYS:
             return SHORT_WAIT_S
--- a/packages/node/src/plantainloft_node/entry/process.py
+++ b/packages/node/src/plantainloft_node/entry/process.py
@@ -12,9 +12,9 @@
 from plantainloft_node.entry.fleet_parts import start_fleet_tasks
 from plantainloft_node.entry.listening import Listeners
 from plantainloft_node.entry.lookups import LookupHandler, ReadyHandler
-from plantainloft_node.entry.observing import Observation
+from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.operating import OperatorHandler
-from plantainloft_node.entry.polling import StoreDuty
+from plantainloft_node.entry.polling import PollingPolicy
 from plantainloft_node.entry.quarantine_rows import build_quarantine
 from plantainloft_node.entry.report import MetricsReport
 from plantainloft_node.entry.serving import build_request_pipeline
@@ -54,22 +54,22 @@
         self._draining = False
         self._listeners = Listeners()
         self.members = MemberBook(me=local_member(settings))
-        self._polling = StoreDuty(members=self.members)
-        self.observation = Observation(
+        self._polling = PollingPolicy(members=self.members)
+        self.replicated_state = ReplicatedState(
             store=store,
             region_by_zone=settings.region_by_zone,
-            wait_s=lambda: self._polling.wait_s(anyio.current_time()),
-            rests=lambda: self._polling.rests(anyio.current_time()),
+            long_poll_wait_s=lambda: self._polling.long_poll_wait_s(anyio.current_time()),
+            delegates_polling=lambda: self._polling.delegates_polling(anyio.current_time()),
         )
-        self.report = MetricsReport(observation=self.observation, members=self.members)
+        self.report = MetricsReport(replicated_state=self.replicated_state, members=self.members)
         self._heartbeats: BeatExchange | None = None
         self.quarantine = build_quarantine(
-            store=store, members=self.members, announce=self._announce_soon
+            store=store, members=self.members, broadcast=self._announce_soon
         )
         self.pipeline = build_request_pipeline(
             settings=settings,
             names=names,
-            observation=self.observation,
+            replicated_state=self.replicated_state,
             report=self.report,
             quarantine=self.quarantine,
         )
@@ -77,7 +77,7 @@
 
     def ready(self) -> bool:
         """Return whether callers may be directed to this instance."""
-        return not self._draining and self.observation.beliefs.table.version > 0
+        return not self._draining and self.replicated_state.routing_state.table.version > 0
 
     async def run(self) -> None:
         """Serve until SIGTERM, then shut down gracefully."""
@@ -101,21 +101,21 @@
         heartbeats = start_fleet_tasks(
             settings=self._settings,
             members=self.members,
-            observation=self.observation,
+            replicated_state=self.replicated_state,
             state=self._own_heartbeat,
-            crashes=self.quarantine.book,
+            crash_registry=self.quarantine.crash_registry,
             tasks=tasks,
         )
         self._heartbeats = heartbeats
         updates = PeriodicUpdates(
-            observation=self.observation,
+            replicated_state=self.replicated_state,
             members=self.members,
             pipeline=self.pipeline,
         )
-        for follower in self.observation.followers.values():
+        for follower in self.replicated_state.followers.values():
             tasks.start_soon(follower.run)
         tasks.start_soon(updates.run)
-        tasks.start_soon(self.pipeline.crash_checks.run)
+        tasks.start_soon(self.pipeline.crash_detector.run)
         tasks.start_soon(self.quarantine.run)
         return heartbeats
 
@@ -125,16 +125,16 @@
             members=self.members, ready=self.ready, ttl_s=lambda: self._settings.lookup_ttl_s
         )
         listen = self._listeners.listen
-        tasks.start_soon(listen, settings.front, self.pipeline.forwarding_handler)
-        tasks.start_soon(listen, settings.directory, lookups)
-        tasks.start_soon(listen, settings.ready, ReadyHandler(ready=self.ready))
-        if settings.metrics:
+        tasks.start_soon(listen, settings.caller_address, self.pipeline.forwarding_handler)
+        tasks.start_soon(listen, settings.lookup_address, lookups)
+        tasks.start_soon(listen, settings.readiness_address, ReadyHandler(ready=self.ready))
+        if settings.metrics_address:
             operators = OperatorHandler(
                 metrics_text=self._metrics,
                 quarantine=self.quarantine,
                 organisations=self.report.organisations,
             )
-            tasks.start_soon(listen, settings.metrics, operators)
+            tasks.start_soon(listen, settings.metrics_address, operators)
 
     def _metrics(self) -> str:
         pipeline = self.pipeline
@@ -151,10 +151,10 @@
             member=self.members.me,
             ready=self.ready(),
             leaving=self._draining,
-            newest_by_table=self.observation.rows.newest_by_table,
+            newest_by_table=self.replicated_state.rows.newest_by_table,
             rate_by_service=self.pipeline.dispatcher.demand.rate_by_service,
-            follows=self.observation.follows(),
-            store_served_s=self.observation.store_served_s(anyio.current_time()),
+            follows=self.replicated_state.polls_successfully(),
+            store_served_s=self.replicated_state.store_available_for_s(anyio.current_time()),
             usage_by_organisation=self.pipeline.limiter.usage_report(anyio.current_time()),
         )
 
--- a/packages/node/src/plantainloft_node/entry/quarantine_rows.py
+++ b/packages/node/src/plantainloft_node/entry/quarantine_rows.py
@@ -6,15 +6,15 @@
 
 from plantainloft_core.outcomes import Unreachable
 from plantainloft_node.fleet.members import MemberBook
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 from plantainloft_node.quarantine.quarantine import Quarantine
-from plantainloft_node.quarantine.records import Outdated, QuarantineStore, StoredRecord
+from plantainloft_node.quarantine.records import QuarantineStore, StoredRecord, VersionConflict
 from plantainloft_node.replica.news import QUARANTINE, NewsRow, NewsStore
 
-__all__ = ['QuarantineTable', 'build_quarantine']
+__all__ = ['EntryQuarantineStore', 'build_quarantine']
 
 
-class QuarantineTable(QuarantineStore):
+class EntryQuarantineStore(QuarantineStore):
     """The table of quarantined requests in the store."""
 
     def __init__(self, *, store: NewsStore) -> None:
@@ -27,16 +27,18 @@
             return listed
         return [StoredRecord(row.key, row.version, row.content or b'') for row in listed.rows]
 
-    async def write(self, key: str, packed: bytes) -> Unreachable | None:
+    async def write(self, key: str, encoded: bytes) -> Unreachable | None:
         """Create or overwrite the row of ``key`` unconditionally."""
-        return await self._store.put_row(QUARANTINE, key, packed)
+        return await self._store.put_row(QUARANTINE, key, encoded)
 
-    async def replace(self, row: StoredRecord, packed: bytes) -> Outdated | Unreachable | None:
+    async def replace(
+        self, row: StoredRecord, encoded: bytes
+    ) -> VersionConflict | Unreachable | None:
         """Overwrite ``row`` if its version is unchanged in the store."""
-        outcome = await self._store.replace_row(_to_row(row), packed)
+        outcome = await self._store.replace_row(_to_row(row), encoded)
         if isinstance(outcome, Unreachable):
             return outcome
-        return None if outcome else Outdated()
+        return None if outcome else VersionConflict()
 
     async def remove(self, row: StoredRecord) -> Unreachable | None:
         """Remove ``row`` if its version is unchanged in the store."""
@@ -44,19 +46,19 @@
 
 
 def _to_row(row: StoredRecord) -> NewsRow:
-    return NewsRow(QUARANTINE, row.key, row.version, row.packed)
+    return NewsRow(QUARANTINE, row.key, row.version, row.encoded)
 
 
 def build_quarantine(
-    *, store: NewsStore, members: MemberBook, announce: Callable[[], None]
+    *, store: NewsStore, members: MemberBook, broadcast: Callable[[], None]
 ) -> Quarantine:
     """Return an empty quarantine.
 
-    ``announce`` is called to report its changes to peers without delay.
+    ``broadcast`` is called to report its changes to peers without delay.
     """
     return Quarantine(
-        book=CrashBook(),
-        store=QuarantineTable(store=store),
-        is_alone=lambda: not members.up(anyio.current_time()),
-        spread=announce,
+        crash_registry=CrashRegistry(),
+        store=EntryQuarantineStore(store=store),
+        has_no_live_peers=lambda: not members.up(anyio.current_time()),
+        broadcast=broadcast,
     )
--- a/packages/node/src/plantainloft_node/entry/report.py
+++ b/packages/node/src/plantainloft_node/entry/report.py
@@ -5,7 +5,7 @@
 from plantainloft_node.engine.dispatch import Dispatcher
 from plantainloft_node.engine.front import ForwardingHandler
 from plantainloft_node.entry.metrics import Metrics
-from plantainloft_node.entry.observing import Observation
+from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.fleet.members import MemberBook
 from plantainloft_node.limits.limiter import RequestLimiter
 from plantainloft_node.limits.listing import ListedOrganisation, list_organisations
@@ -20,8 +20,8 @@
 class MetricsReport:
     """Counts requests as they are answered, and reads gauges on demand."""
 
-    def __init__(self, *, observation: Observation, members: MemberBook) -> None:
-        self._observation = observation
+    def __init__(self, *, replicated_state: ReplicatedState, members: MemberBook) -> None:
+        self._replicated_state = replicated_state
         self._members = members
         self._metrics = Metrics()
         # Assigned after construction: the limiter is created along with components
@@ -39,9 +39,9 @@
         """Update the gauges and return all series as text."""
         now = anyio.current_time()
         metrics = self._metrics
-        beliefs = self._observation.beliefs
-        metrics.set_gauge('configuration_version', beliefs.table.version)
-        metrics.set_gauge('configuration_age_seconds', now - beliefs.table_since)
+        routing_state = self._replicated_state.routing_state
+        metrics.set_gauge('configuration_version', routing_state.table.version)
+        metrics.set_gauge('configuration_age_seconds', now - routing_state.table_since)
         metrics.set_gauge('members_up', len(self._members.up(now)) + 1)
         metrics.set_gauge('requests_in_progress', forwarding_handler.requests_in_progress)
         for service, remaining in dispatcher.remaining_retry_budgets(now).items():
@@ -56,7 +56,7 @@
         """Return the organisations with their usage of their limits at this instance."""
         if self.limiter is None:
             return []
-        organisations = self._observation.beliefs.table.organisations
+        organisations = self._replicated_state.routing_state.table.organisations
         usage_by_name = self.limiter.usage_by_organisation(organisations, anyio.current_time())
         return list_organisations(organisations, usage_by_name)
 
@@ -72,19 +72,27 @@
 
     def _set_observation_gauges(self, now: float) -> None:
         metrics = self._metrics
-        for name, follower in self._observation.followers.items():
+        for name, follower in self._replicated_state.followers.items():
             metrics.set_gauge('store_followed', follower.in_touch, table=name)
             metrics.set_gauge('store_heard_seconds_ago', now - follower.heard_at, table=name)
-        for service, latency in self._observation.endpoint_registry.latency_by_service.items():
+        for service, latency in self._replicated_state.endpoint_registry.latency_by_service.items():
             metrics.set_gauge('answer_seconds_usual', latency.mean_s, service=service)
             metrics.set_gauge('silent_after_seconds', latency.max_silence_s, service=service)
-        for service, times in self._observation.endpoint_registry.processing_by_service.items():
+        for (
+            service,
+            times,
+        ) in self._replicated_state.endpoint_registry.processing_by_service.items():
             cached_s = times.expected_s(cached=True)
             metrics.set_gauge('work_seconds', cached_s, service=service, object='remembered')
             uncached_s = times.expected_s(cached=False)
             metrics.set_gauge('work_seconds', uncached_s, service=service, object='new')
-        for zone, round_trip_s in self._observation.endpoint_registry.round_trips.by_zone().items():
+        for (
+            zone,
+            round_trip_s,
+        ) in self._replicated_state.endpoint_registry.round_trips.by_zone().items():
             metrics.set_gauge('round_trip_seconds', round_trip_s, zone=zone)
-        for service, counts in self._observation.endpoint_registry.counts_by_state(now).items():
+        for service, counts in self._replicated_state.endpoint_registry.counts_by_state(
+            now
+        ).items():
             for state, count in counts.items():
                 metrics.set_gauge('endpoints', count, service=service, state=state)
--- a/packages/node/src/plantainloft_node/entry/serving.py
+++ b/packages/node/src/plantainloft_node/entry/serving.py
@@ -7,13 +7,13 @@
 from plantainloft_node.engine.front import ForwardingHandler
 from plantainloft_node.engine.pool import ConnectionPool
 from plantainloft_node.engine.sender import Sender
-from plantainloft_node.entry.observing import Observation
+from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.report import MetricsReport
 from plantainloft_node.entry.settings import EntrySettings
 from plantainloft_node.entry.terms import limit_parameters, placement_settings, retry_limits
 from plantainloft_node.limits.limiter import RequestLimiter
 from plantainloft_node.placing.placement import Placement
-from plantainloft_node.quarantine.crash_checks import CrashChecks, EndpointRun
+from plantainloft_node.quarantine.crash_checks import CrashDetector, EndpointAttempt
 from plantainloft_node.quarantine.quarantine import Quarantine
 
 __all__ = ['RequestPipeline', 'build_request_pipeline']
@@ -26,7 +26,7 @@
     pool: ConnectionPool
     dispatcher: Dispatcher
     forwarding_handler: ForwardingHandler
-    crash_checks: CrashChecks
+    crash_detector: CrashDetector
     limiter: RequestLimiter
 
     def apply_settings(self, settings: EntrySettings) -> None:
@@ -40,27 +40,27 @@
     *,
     settings: EntrySettings,
     names: HeaderNames,
-    observation: Observation,
+    replicated_state: ReplicatedState,
     report: MetricsReport,
     quarantine: Quarantine,
 ) -> RequestPipeline:
-    """Return the components that process requests, based on the state in ``observation``."""
+    """Return the components that process requests, based on the state in ``replicated_state``."""
     placement = Placement(
-        settings=placement_settings(settings), endpoint_registry=observation.endpoint_registry
+        settings=placement_settings(settings), endpoint_registry=replicated_state.endpoint_registry
     )
     pool = ConnectionPool()
 
-    def note_crash(run: EndpointRun, now: float) -> None:
-        observation.endpoint_registry.record_process_ended(run.incarnation, now)
-        quarantine.note_crash(run, now)
+    def record_crash(attempt: EndpointAttempt, now: float) -> None:
+        replicated_state.endpoint_registry.record_process_ended(attempt.incarnation, now)
+        quarantine.record_crash(attempt, now)
 
-    crash_checks = CrashChecks(on_crash=note_crash)
+    crash_detector = CrashDetector(on_crash=record_crash)
     dispatcher = Dispatcher(
         names=names,
         placement=placement,
         sender=Sender(names=names, pool=pool),
         retry_limits=retry_limits(settings),
-        crash_checks=crash_checks,
+        crash_detector=crash_detector,
         quarantine=quarantine,
     )
     limiter = RequestLimiter(instance=settings.name, settings=limit_parameters(settings))
@@ -68,7 +68,7 @@
         names=names,
         dispatcher=dispatcher,
         limiter=limiter,
-        route_table=lambda: observation.beliefs.table,
+        route_table=lambda: replicated_state.routing_state.table,
         record_outcome=report.observe,
     )
-    return RequestPipeline(placement, pool, dispatcher, forwarding_handler, crash_checks, limiter)
+    return RequestPipeline(placement, pool, dispatcher, forwarding_handler, crash_detector, limiter)
--- a/packages/node/src/plantainloft_node/entry/settings.py
+++ b/packages/node/src/plantainloft_node/entry/settings.py
@@ -54,14 +54,14 @@
     name: str
     zone: str
     region_by_zone: dict[str, str]
-    front: str
-    ready: str
-    directory: str
-    control: str
-    metrics: str
+    caller_address: str
+    readiness_address: str
+    lookup_address: str
+    peer_call_address: str
+    metrics_address: str
     peer_port: int
     seeds: tuple[str, ...]
-    store: str
+    store_address: str
     lookup_ttl_s: float
     grace_s: float
     retry_ratio: float
@@ -81,9 +81,9 @@
         return self.region_by_zone.get(self.zone, '')
 
     @property
-    def peer(self) -> str:
+    def heartbeat_address(self) -> str:
         """The UDP address for heartbeats."""
-        return f'{self.front.rpartition(":")[0]}:{self.peer_port}'
+        return f'{self.caller_address.rpartition(":")[0]}:{self.peer_port}'
 
 
 OPTIONS = (
@@ -125,14 +125,14 @@
         name=found['instance.name'],
         zone=zone,
         region_by_zone=found['instance.zones'],
-        front=found['listen.front'],
-        ready=found['listen.ready'],
-        directory=found['listen.directory'],
-        control=found['listen.control'],
-        metrics=found['listen.metrics'],
+        caller_address=found['listen.front'],
+        readiness_address=found['listen.ready'],
+        lookup_address=found['listen.directory'],
+        peer_call_address=found['listen.control'],
+        metrics_address=found['listen.metrics'],
         peer_port=int(found['peers.port']),
         seeds=found['peers.seeds'],
-        store=found['store.address'],
+        store_address=found['store.address'],
         lookup_ttl_s=found['lookup.ttl'],
         grace_s=found['bounds.grace'],
         retry_ratio=found['bounds.retry_ratio'],
--- a/packages/node/src/plantainloft_node/entry/sharing.py
+++ b/packages/node/src/plantainloft_node/entry/sharing.py
@@ -14,7 +14,7 @@
 from anyio.abc import TaskGroup
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.entry.observing import Observation
+from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.peer_calls import PeerCalls
 from plantainloft_node.fleet.intake import Hint
 from plantainloft_node.fleet.members import Beat, FleetMember, MemberBook
@@ -22,7 +22,7 @@
 from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS, News, NewsRow
 from plantainloft_node.replica.rows import RowCopy
 
-__all__ = ['MEMBERS_CALL', 'NEWS_CALL', 'SMALL_NEWS_CALL', 'NewsSharing']
+__all__ = ['MEMBERS_CALL', 'ROWS_CALL', 'SMALL_ROWS_CALL', 'RowReplication']
 
 log = logging.getLogger(__name__)
 
@@ -34,8 +34,8 @@
 # A peer that is unreachable or hangs does not answer; after this time another
 # peer may be asked.
 FETCH_RETRY_AFTER_S = 0.8
-NEWS_CALL = 'news'
-SMALL_NEWS_CALL = 'small_news'
+ROWS_CALL = 'news'
+SMALL_ROWS_CALL = 'small_news'
 # Larger tables would delay all answers queued behind them: a relay has no more
 # bandwidth than any other instance, and many instances call it at once. Instances
 # that delegate their polling read such tables from the store.
@@ -44,7 +44,7 @@
 _MALFORMED = (KeyError, TypeError, ValueError, AttributeError)
 
 
-class NewsSharing:
+class RowReplication:
     """Requests missing rows from peers and answers their requests."""
 
     def __init__(
@@ -52,25 +52,25 @@
         *,
         calls: PeerCalls,
         members: MemberBook,
-        observation: Observation,
+        replicated_state: ReplicatedState,
         tasks: TaskGroup,
     ) -> None:
         self._calls = calls
         self._members = members
-        self._observation = observation
-        self._rows = observation.rows
-        self._beliefs = observation.beliefs
-        self._followers = observation.followers
+        self._replicated_state = replicated_state
+        self._rows = replicated_state.rows
+        self._routing_state = replicated_state.routing_state
+        self._followers = replicated_state.followers
         self._tasks = tasks
         self._fetches_in_progress = 0
         self._large_fetch_scheduled = False
         self._last_fetch_at = 0.0
 
-    def on_beat(self, beat: Beat) -> None:
+    def on_heartbeat(self, beat: Beat) -> None:
         """Request the rows that are missing here from the sender of a heartbeat."""
-        self.on_hint(Hint(beat.member, beat.newest_by_table, ()))
+        self.on_update_hint(Hint(beat.member, beat.newest_by_table, ()))
 
-    def on_hint(self, hint: Hint) -> None:
+    def on_update_hint(self, hint: Hint) -> None:
         """Request rows and instances that are missing here from a peer that has them."""
         now = anyio.current_time()
         if hint.relayed is not None:
@@ -83,12 +83,12 @@
             self._last_fetch_at = now
             self._tasks.start_soon(self._fetch_missing, hint)
 
-    async def tell(self, newest_by_table: Any) -> Any:
+    async def answer_rows_call(self, newest_by_table: Any) -> Any:
         """Answer a call for the rows newer than those that a peer has."""
         return self._rows_answer(newest_by_table, left_out=())
 
-    async def tell_small(self, newest_by_table: Any) -> Any:
-        """Answer like ``tell``, but only name large tables instead of sending their rows."""
+    async def answer_small_rows_call(self, newest_by_table: Any) -> Any:
+        """Answer like ``answer_rows_call``, but only name large tables, without their rows."""
         size_by_table: dict[str, int] = {}
         for row in self._rows.since(newest_by_table):
             size = len(row.content or b'')
@@ -96,7 +96,7 @@
         large = [table for table, size in size_by_table.items() if size > MAX_SMALL_TABLE_BYTES]
         return self._rows_answer(newest_by_table, left_out=large)
 
-    async def tell_members(self, _: Any) -> Any:
+    async def answer_members_call(self, _: Any) -> Any:
         """Answer a call for the instances that count for shared limits, including this one."""
         counted = self._members.counted(anyio.current_time())
         return [list(member) for member in (*counted, self._members.me)]
@@ -111,11 +111,13 @@
             'rows': [list(row) for row in rows],
             'whole': {table: self._rows.newest_by_table[table] for table in whole},
             'left_out': left_out,
-            'store_served_s': self._observation.store_served_s(anyio.current_time()),
+            'store_served_s': self._replicated_state.store_available_for_s(anyio.current_time()),
         }
 
     async def _fetch_missing(self, hint: Hint) -> None:
-        if not (self._observation.rests() and _lacks_table(self._rows, hint, ENDPOINTS)):
+        if not (
+            self._replicated_state.delegates_polling() and _lacks_table(self._rows, hint, ENDPOINTS)
+        ):
             await anyio.sleep(PEER_FETCH_DELAY_S)
         if _lacks_rows(self._rows, hint):
             await self._fetch_rows(hint.member)
@@ -126,13 +128,13 @@
     def _note_relayed_status(self, member: FleetMember, served_s: float | None, now: float) -> None:
         zone = self._members.known.by_zone()[self._members.me.zone]
         if self._members.me not in relays_in(zone, self._members, now):
-            self._beliefs.store.note_told(member.name, served_s, now)
+            self._routing_state.store.note_told(member.name, served_s, now)
 
     async def _fetch_rows(self, member: FleetMember) -> None:
-        if not self._observation.rests():
+        if not self._replicated_state.delegates_polling():
             await self._fetch_all_rows(member)
             return
-        answer = await self._calls.call(member, SMALL_NEWS_CALL, self._rows.newest_by_table)
+        answer = await self._calls.call(member, SMALL_ROWS_CALL, self._rows.newest_by_table)
         if isinstance(answer, Unreachable):
             self._poll_store((ENDPOINTS,))
             return
@@ -155,7 +157,7 @@
         self._large_fetch_scheduled = False
 
     async def _fetch_all_rows(self, member: FleetMember) -> None:
-        answer = await self._calls.call(member, NEWS_CALL, self._rows.newest_by_table)
+        answer = await self._calls.call(member, ROWS_CALL, self._rows.newest_by_table)
         if not isinstance(answer, Unreachable):
             self._apply_answer(member, answer)
 
@@ -168,7 +170,7 @@
             return ()
         now = anyio.current_time()
         self._note_relayed_status(member, answer.get('store_served_s'), now)
-        self._beliefs.take(fresh, now, source=member.name)
+        self._routing_state.take(fresh, now, source=member.name)
         changed = {row.table for row in fresh}
         for table in changed:
             self._followers[table].wake()
--- a/packages/node/src/plantainloft_node/entry/store_probes.py
+++ b/packages/node/src/plantainloft_node/entry/store_probes.py
@@ -15,7 +15,7 @@
 
 import anyio
 
-from plantainloft_node.entry.observing import Observation
+from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.peer_calls import PeerCalls
 from plantainloft_node.fleet.members import FleetMember, MemberBook
 from plantainloft_node.replica.store_watch import LAPSE_GRACE_S
@@ -40,12 +40,14 @@
 class StoreProbes:
     """Asks peers to probe the store after a failure, and probes it for them."""
 
-    def __init__(self, *, calls: PeerCalls, members: MemberBook, observation: Observation) -> None:
+    def __init__(
+        self, *, calls: PeerCalls, members: MemberBook, replicated_state: ReplicatedState
+    ) -> None:
         self._calls = calls
         self._members = members
-        self._store = observation.store
-        self._beliefs = observation.beliefs
-        self._watch = observation.beliefs.store
+        self._store = replicated_state.store
+        self._routing_state = replicated_state.routing_state
+        self._watch = replicated_state.routing_state.store
 
     async def run(self) -> None:
         """Ask peers after each failed call to the store until cancelled."""
@@ -54,7 +56,7 @@
             await self._ask_peers()
             await anyio.sleep(MIN_PROBE_INTERVAL_S)
 
-    async def tell(self, _: Any) -> float | None:
+    async def answer_probe_call(self, _: Any) -> float | None:
         """Probe the store for a peer.
 
         Return for how many seconds it has been available to this instance, or
@@ -114,4 +116,4 @@
             member.name,
             extra={'kind': 'store_probe', 'fields': {'member': member.name}},
         )
-        self._beliefs.tick(now)
+        self._routing_state.tick(now)
--- a/packages/node/src/plantainloft_node/entry/terms.py
+++ b/packages/node/src/plantainloft_node/entry/terms.py
@@ -69,8 +69,8 @@
         incarnation=int(time.time() * MS_PER_S),
         region=settings.region,
         zone=settings.zone,
-        front=settings.front,
-        peer=settings.peer,
+        front=settings.caller_address,
+        peer=settings.heartbeat_address,
     )
 
 
--- a/packages/node/src/plantainloft_node/entry/upkeep.py
+++ b/packages/node/src/plantainloft_node/entry/upkeep.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from plantainloft_node.entry.observing import Observation
+from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.serving import RequestPipeline
 from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
 from plantainloft_node.fleet.demand import (
@@ -23,11 +23,11 @@
     def __init__(
         self,
         *,
-        observation: Observation,
+        replicated_state: ReplicatedState,
         members: MemberBook,
         pipeline: RequestPipeline,
     ) -> None:
-        self._observation = observation
+        self._replicated_state = replicated_state
         self._members = members
         self._placement = pipeline.placement
         self._demand = pipeline.dispatcher.demand
@@ -39,23 +39,25 @@
         """Update until cancelled."""
         while True:
             self.update(anyio.current_time())
-            await self._pool.close_all_except(self._observation.endpoint_registry.incarnations())
+            await self._pool.close_all_except(
+                self._replicated_state.endpoint_registry.incarnations()
+            )
             await anyio.sleep(UPDATE_INTERVAL_S)
 
     def update(self, now: float) -> None:
         """Update everything that depends on the current time."""
-        self._observation.beliefs.tick(now)
+        self._replicated_state.routing_state.tick(now)
         self._placement.update_instances(self._members.sharing(now))
         self._placement.update_failing_services(now)
         self._demand.update(UPDATE_INTERVAL_S)
-        self._crash_registry.forget_old(now)
+        self._crash_registry.delete_expired(now)
         zones = demand_of_zones(self._members, self._demand.rate_by_service, now)
         demand = [DemandReport(zone.region, zone.rate_by_service) for zone in zones]
         self._placement.update_region_shares(demand_by_region(demand))
         self._update_limits(now)
 
     def _update_limits(self, now: float) -> None:
-        organisations = self._observation.beliefs.table.organisations
+        organisations = self._replicated_state.routing_state.table.organisations
         if not organisations.by_name:
             return
         self._limiter.retain_organisations(organisations)
--- a/packages/node/src/plantainloft_node/fleet/beats.py
+++ b/packages/node/src/plantainloft_node/fleet/beats.py
@@ -16,7 +16,7 @@
 from plantainloft_node.fleet.members import MemberBook
 from plantainloft_node.fleet.relaying import Message, Relaying
 from plantainloft_node.fleet.reports import Beat
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 
 __all__ = ['BEAT_S', 'BeatExchange']
 
@@ -38,20 +38,20 @@
         *,
         members: MemberBook,
         state: Callable[[], Beat],
-        on_hint: Callable[[Hint], None],
+        on_update_hint: Callable[[Hint], None],
         seeds: tuple[str, ...],
-        crashes: CrashBook,
+        crash_registry: CrashRegistry,
     ) -> None:
         self._members = members
-        self._on_hint = on_hint
-        self._intake = Intake(members=members, crashes=crashes)
+        self._on_update_hint = on_update_hint
+        self._intake = Intake(members=members, crash_registry=crash_registry)
         self._relaying = Relaying(
             members=members,
             intake=self._intake,
             state=state,
             seeds=seeds,
             chance=random.Random(),
-            crashes=crashes,
+            crash_registry=crash_registry,
         )
         self._socket: UDPSocket | None = None
         self._sending = anyio.Lock()
@@ -115,7 +115,7 @@
             if result.is_urgent:
                 self._round_requested.set()
             for hint in result.hints:
-                self._on_hint(hint)
+                self._on_update_hint(hint)
 
     def _log_malformed(self, host: str, now: float) -> None:
         if now - self._malformed_logged_at < MALFORMED_LOG_INTERVAL_S:
--- a/packages/node/src/plantainloft_node/fleet/datagrams.py
+++ b/packages/node/src/plantainloft_node/fleet/datagrams.py
@@ -34,10 +34,10 @@
 
 
 class PackedReport(NamedTuple):
-    """An encoded report; ``held_s`` is how long its forwarder has held it."""
+    """An encoded report; ``report_age_s`` is how long its forwarder has held it."""
 
     packed: bytes
-    held_s: float
+    report_age_s: float
 
 
 class ReceivedReport(NamedTuple):
@@ -45,7 +45,7 @@
 
     report: ZoneReport
     packed: bytes
-    held_s: float
+    report_age_s: float
 
 
 class Datagram(NamedTuple):
@@ -109,9 +109,9 @@
     sender, wants_reports, items, uses = raw[1:]
     reports = tuple(
         ReceivedReport(
-            unpack_report(require_type(packed, bytes)), packed, require_non_negative(held_s)
+            unpack_report(require_type(packed, bytes)), packed, require_non_negative(report_age_s)
         )
-        for packed, held_s in items
+        for packed, report_age_s in items
     )
     fleet_usage = decode_usage(require_type(uses, bytes))
     return Datagram(
--- a/packages/node/src/plantainloft_node/fleet/intake.py
+++ b/packages/node/src/plantainloft_node/fleet/intake.py
@@ -6,7 +6,7 @@
 from plantainloft_node.fleet.heard import ReportedUsage
 from plantainloft_node.fleet.members import DOWN_AFTER_S, MemberBook
 from plantainloft_node.fleet.reports import Beat, FleetMember, ZoneReport
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 
 __all__ = ['Hint', 'Intake', 'IntakeResult']
 
@@ -57,9 +57,9 @@
 class Intake:
     """Applies received reports to the member book and queues those to forward."""
 
-    def __init__(self, *, members: MemberBook, crashes: CrashBook) -> None:
+    def __init__(self, *, members: MemberBook, crash_registry: CrashRegistry) -> None:
         self._members = members
-        self._crashes = crashes
+        self._crash_registry = crash_registry
         self._version_by_sender: dict[str, _ReportVersion] = {}
         self._subscribed_at_by_name: dict[str, float] = {}
         self._joined_at_by_name: dict[str, float] = {}
@@ -85,8 +85,8 @@
             elif self._is_sent_from(datagram.sender, host) and self._accept_if_newer(
                 item.report, now
             ):
-                hints += self._apply_forwarded(item.report, datagram.sender, item.held_s, now)
-                is_urgent |= self._merge_crashes(item.report, item.held_s, now)
+                hints += self._apply_forwarded(item.report, datagram.sender, item.report_age_s, now)
+                is_urgent |= self._merge_crashes(item.report, item.report_age_s, now)
         return IntakeResult(tuple(hints), is_urgent)
 
     def subscribers(self, now: float) -> list[FleetMember]:
@@ -131,15 +131,15 @@
         leaves = report.beat.leaving and not was_leaving
         return datagram.wants_reports and (fresh or leaves)
 
-    def _merge_crashes(self, report: ZoneReport, held_s: float, now: float) -> bool:
+    def _merge_crashes(self, report: ZoneReport, report_age_s: float, now: float) -> bool:
         """Merge reported crashes; return whether subscribers need them without delay."""
-        is_news = self._crashes.merge(report.crashes, now, held_s=held_s)
+        is_news = self._crash_registry.merge(report.crashes, now, report_age_s=report_age_s)
         return is_news and bool(self.subscribers(now))
 
     def _apply_forwarded(
-        self, report: ZoneReport, sender: str, held_s: float, now: float
+        self, report: ZoneReport, sender: str, report_age_s: float, now: float
     ) -> list[Hint]:
-        self._members.apply_report(report, now, forwarder_held_s=held_s)
+        self._members.apply_report(report, now, forwarder_held_s=report_age_s)
         return [Hint(member, {}, _status_keys(report)) for member in self._known_members([sender])]
 
     def _hint(self, report: ZoneReport) -> Hint:
--- a/packages/node/src/plantainloft_node/fleet/relaying.py
+++ b/packages/node/src/plantainloft_node/fleet/relaying.py
@@ -30,7 +30,7 @@
 from plantainloft_node.fleet.ranking import RELAYS, down_members, relays_in, report_targets
 from plantainloft_node.fleet.report_codec import pack_report
 from plantainloft_node.fleet.reports import Beat, FleetMember, MemberStatus, ZoneReport, member_key
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 
 __all__ = ['Message', 'Relaying']
 
@@ -64,10 +64,10 @@
         state: Callable[[], Beat],
         seeds: tuple[str, ...],
         chance: random.Random,
-        crashes: CrashBook,
+        crash_registry: CrashRegistry,
     ) -> None:
         """``state`` returns the current heartbeat of this instance."""
-        self._crashes = crashes
+        self._crash_registry = crash_registry
         self._members = members
         self._intake = intake
         self._state = state
@@ -122,7 +122,7 @@
     def _own_report(self, now: float, *, is_full: bool) -> PackedReport:
         self._sequence += 1
         beat = self._state()
-        crashes = tuple(self._crashes.reports(now))
+        crashes = tuple(self._crash_registry.next_reports(now))
         report = ZoneReport(self._sequence, beat, {}, (), (), crashes)
         if is_full:
             heartbeats = zone_heartbeats(self._members, now)
--- a/packages/node/src/plantainloft_node/forwarding.py
+++ b/packages/node/src/plantainloft_node/forwarding.py
@@ -23,9 +23,9 @@
 from plantainloft_node.engine.endpoint_link import UpstreamRequest
 from plantainloft_node.engine.whole_answers import BufferedResponse, HttpClient
 from plantainloft_node.loads import EndpointLoadTracker
-from plantainloft_node.quarantine.crash_checks import CrashChecks, EndpointRun
-from plantainloft_node.quarantine.fingerprints import RequestFingerprint, fingerprint_of
-from plantainloft_node.quarantine.quarantine import Quarantine, ShutOut
+from plantainloft_node.quarantine.crash_checks import CrashDetector, EndpointAttempt
+from plantainloft_node.quarantine.fingerprints import RequestFingerprint, compute_fingerprint
+from plantainloft_node.quarantine.quarantine import Blocked, Quarantine
 
 __all__ = ['Forwarder', 'Request']
 
@@ -60,7 +60,7 @@
 
     def fingerprint(self) -> RequestFingerprint:
         """Return the fingerprint that identifies repeats of this request."""
-        return fingerprint_of(
+        return compute_fingerprint(
             method=self.method.encode(),
             host=self.service.encode(),
             target=self.path.encode(),
@@ -84,15 +84,15 @@
         self._endpoint_selector = endpoint_selector
         self._loads = loads
         self.quarantine = quarantine
-        self.crash_checks = CrashChecks(on_crash=quarantine.note_crash)
+        self.crash_detector = CrashDetector(on_crash=quarantine.record_crash)
 
     async def check_quarantine(self, request: Request) -> Quarantined | None:
         """Return the quarantine outcome if ``request`` must not be sent, else None."""
-        if not self.quarantine.book:
+        if not self.quarantine.crash_registry:
             return None
         admission = await self.quarantine.admit(request.fingerprint())
-        if isinstance(admission, ShutOut):
-            return Quarantined(reason=f'{admission.crashes} endpoints ended under it')
+        if isinstance(admission, Blocked):
+            return Quarantined(reason=f'{admission.crash_count} endpoints ended under it')
         return None
 
     async def forward(self, config: Configuration, request: Request) -> Served | Refused | Unknown:
@@ -144,12 +144,14 @@
             return Refused(reason=f'{name} unreachable', retry_after_s=1)
         if isinstance(answer, Failed):
             if answer.connection_lost:
-                self.crash_checks.note_broken(_endpoint_run(name, address, request))
+                self.crash_detector.check_after_disconnect(
+                    _endpoint_attempt(name, address, request)
+                )
             return Unknown(reason=f'{name}: {answer.reason}')
         if answer.head.status == _UNAVAILABLE:
             return self._interpret_unavailable(name, answer.body)
         if answer.head.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-            self.quarantine.note_answered(request.fingerprint(), anyio.current_time())
+            self.quarantine.record_answer(request.fingerprint(), anyio.current_time())
         return Served(status=answer.head.status, body=answer.body, endpoint=name)
 
     def _interpret_unavailable(self, name: str, body: bytes) -> Refused | Unknown:
@@ -164,10 +166,10 @@
         return Refused(reason=f'{name} {refusal}', retry_after_s=1)
 
 
-def _endpoint_run(name: str, address: str, request: Request) -> EndpointRun:
+def _endpoint_attempt(name: str, address: str, request: Request) -> EndpointAttempt:
     start = int(time.time() / MIN_CRASH_INTERVAL_S)
-    return EndpointRun(
-        request=request.fingerprint(),
+    return EndpointAttempt(
+        fingerprint=request.fingerprint(),
         request_id=request.headers.get('idempotency-key', ''),
         incarnation=f'{name}@{start}',
         address=address.removeprefix('http://'),
--- a/packages/node/src/plantainloft_node/node.py
+++ b/packages/node/src/plantainloft_node/node.py
@@ -97,7 +97,7 @@
         )
         claims = CapacityClaims(home_region=settings.region)
         self._quarantine = build_node_quarantine(
-            client=table, membership_list=self.membership_list, spread=lambda: self.gossip.wake()
+            client=table, membership_list=self.membership_list, broadcast=lambda: self.gossip.wake()
         )
         self.gossip = GossipService(
             membership_list=self.membership_list,
@@ -107,7 +107,7 @@
             on_newer_version=lambda version, address: self.follower.note_available_version(
                 version, PeerConfigSource(peer_connections=peer_connections, address=address)
             ),
-            crashes=self._quarantine.book,
+            crash_registry=self._quarantine.crash_registry,
             usage_report=lambda now: self.handler.admission.limiter.usage_report(now),
         )
         self.follower.on_config_change = self._on_config_change
@@ -176,7 +176,7 @@
         """Run crash checks of endpoints and maintain the quarantine, indefinitely."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._quarantine.run)
-            tasks.start_soon(self.forwarder.crash_checks.run)
+            tasks.start_soon(self.forwarder.crash_detector.run)
 
     async def poll_loads(self) -> None:
         """Poll the endpoints' load reports, indefinitely."""
--- a/packages/node/src/plantainloft_node/node_quarantine.py
+++ b/packages/node/src/plantainloft_node/node_quarantine.py
@@ -6,9 +6,9 @@
 from plantainloft_core.outcomes import Unreachable
 from plantainloft_core.roster import MembershipList
 from plantainloft_core.table_client import TableClient, TableRow, TxnConflict
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 from plantainloft_node.quarantine.quarantine import Quarantine
-from plantainloft_node.quarantine.records import Outdated, QuarantineStore, StoredRecord
+from plantainloft_node.quarantine.records import QuarantineStore, StoredRecord, VersionConflict
 
 __all__ = ['TableQuarantineStore', 'build_node_quarantine']
 
@@ -30,41 +30,45 @@
             return rows
         return [_to_record(row) for row in rows if row.value != _REMOVED]
 
-    async def write(self, key: str, packed: bytes) -> Unreachable | None:
+    async def write(self, key: str, encoded: bytes) -> Unreachable | None:
         """Write a row unconditionally."""
         outcome = await self._client.commit_transaction(
-            conditions={}, writes={KEY_PREFIX + key: packed.hex()}
+            conditions={}, writes={KEY_PREFIX + key: encoded.hex()}
         )
         return outcome if isinstance(outcome, Unreachable) else None
 
-    async def replace(self, row: StoredRecord, packed: bytes) -> Outdated | Unreachable | None:
+    async def replace(
+        self, row: StoredRecord, encoded: bytes
+    ) -> VersionConflict | Unreachable | None:
         """Replace the record of ``row`` if its version is unchanged."""
-        return await self._replace_value(row, packed.hex())
+        return await self._replace_value(row, encoded.hex())
 
     async def remove(self, row: StoredRecord) -> Unreachable | None:
         """Remove ``row`` if its version is unchanged."""
         outcome = await self._replace_value(row, _REMOVED)
         return outcome if isinstance(outcome, Unreachable) else None
 
-    async def _replace_value(self, row: StoredRecord, value: str) -> Outdated | Unreachable | None:
+    async def _replace_value(
+        self, row: StoredRecord, value: str
+    ) -> VersionConflict | Unreachable | None:
         key = KEY_PREFIX + row.key
         outcome = await self._client.commit_transaction(
             conditions={key: row.version}, writes={key: value}
         )
         if isinstance(outcome, TxnConflict):
-            return Outdated()
+            return VersionConflict()
         return outcome if isinstance(outcome, Unreachable) else None
 
 
 def build_node_quarantine(
-    *, client: TableClient, membership_list: MembershipList, spread: Callable[[], None]
+    *, client: TableClient, membership_list: MembershipList, broadcast: Callable[[], None]
 ) -> Quarantine:
     """Return a node's quarantine, which loads its records when it is run."""
     return Quarantine(
-        book=CrashBook(),
+        crash_registry=CrashRegistry(),
         store=TableQuarantineStore(client=client),
-        is_alone=lambda: len(membership_list.live_members()) == 1,
-        spread=spread,
+        has_no_live_peers=lambda: len(membership_list.live_members()) == 1,
+        broadcast=broadcast,
     )
 
 
--- a/packages/node/src/plantainloft_node/peering/mesh.py
+++ b/packages/node/src/plantainloft_node/peering/mesh.py
@@ -25,7 +25,7 @@
     unpack_member,
     unpack_updates,
 )
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 from plantainloft_node.quarantine.crash_codec import pack_crashes, unpack_crashes
 from plantainloft_node.quarantine.crashes import CrashReport
 from plantainloft_node.streams.links import PeerConnections
@@ -50,7 +50,7 @@
         peer_connections: PeerConnections,
         current_version: Callable[[], int],
         on_newer_version: Callable[[int, str], None],
-        crashes: CrashBook,
+        crash_registry: CrashRegistry,
         usage_report: Callable[[float], Mapping[int, OrganisationUsage]],
     ) -> None:
         """``uses`` returns the usage of organisations' limits on this node."""
@@ -59,7 +59,7 @@
         self._peer_connections = peer_connections
         self._current_version = current_version
         self._on_newer_version = on_newer_version
-        self._crashes = crashes
+        self._crash_registry = crash_registry
         self._usage_report = usage_report
         self.peer_usage_reports = PeerUsageReports()
         self._wake_event = anyio.Event()
@@ -141,7 +141,7 @@
             self._on_newer_version(heartbeat['version'], sender.peer_address)
         if sender.name != self.membership_list.local_member.name:
             self.peer_usage_reports.record(sender.name, _decode_usage_of(heartbeat), now)
-        new_crashes = self._crashes.merge(_unpack_crashes_of(heartbeat), now)
+        new_crashes = self._crash_registry.merge(_unpack_crashes_of(heartbeat), now)
         if self.membership_list.revision != revision_before or new_crashes:
             self.wake()
 
@@ -151,7 +151,7 @@
             version=self._current_version(),
             claims=self._claims.claimed_by_region,
             events=pack_updates(self.membership_list.updates_for(receiver=receiver)),
-            crashes=pack_crashes(self._crashes.reports(time.monotonic())),
+            crashes=pack_crashes(self._crash_registry.next_reports(time.monotonic())),
             uses=encode_usage(self._usage_report(time.monotonic())),
         )
 
--- a/packages/node/src/plantainloft_node/quarantine/crash_book.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_book.py
@@ -16,7 +16,7 @@
 from plantainloft_node.placing.affinity import rendezvous_score
 from plantainloft_node.quarantine.crashes import (
     CRASH_RETENTION_S,
-    QUARANTINE_CRASHES,
+    QUARANTINE_THRESHOLD,
     Crash,
     CrashesByKey,
     CrashKey,
@@ -29,9 +29,9 @@
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
 from plantainloft_node.quarantine.recent_answers import RecentAnswers
 
-__all__ = ['MAX_CRASHES_PER_REPORT', 'MAX_CRASHES_PER_REQUEST', 'CrashBook']
+__all__ = ['MAX_CRASHES_PER_REPORT', 'MAX_CRASHES_PER_REQUEST', 'CrashRegistry']
 
-MAX_REQUESTS = 1024
+MAX_TRACKED_REQUESTS = 1024
 MAX_CRASHES_PER_REQUEST = 16
 # A change stays in every report for this long, so that it survives lost datagrams
 # and reaches the instances that relay reports.
@@ -58,7 +58,7 @@
     report: CrashReport
 
 
-class CrashBook:
+class CrashRegistry:
     """Crashes by request, detected locally or reported by other instances."""
 
     def __init__(self) -> None:
@@ -75,43 +75,47 @@
         """Return the number of distinct requests with recorded crashes."""
         return len(self._crashes_by_content)
 
-    def note_crash(self, request: RequestFingerprint, incarnation: str, now: float) -> CrashSummary:
-        """Record that an endpoint crashed while it ran ``request``."""
-        key = CrashKey(request.caller, rendezvous_score('crash', incarnation))
-        self._add(request.content, key, crashed_at=now, exemption=Exemption.NONE, now=now)
-        return self.standing(request, now)
+    def record_crash(
+        self, fingerprint: RequestFingerprint, incarnation: str, now: float
+    ) -> CrashSummary:
+        """Record that an endpoint crashed while it ran a request."""
+        key = CrashKey(fingerprint.caller_digest, rendezvous_score('crash', incarnation))
+        self._add(
+            fingerprint.content_digest, key, crashed_at=now, exemption=Exemption.NONE, now=now
+        )
+        return self.summary_for(fingerprint, now)
 
-    def note_answered(self, request: RequestFingerprint, now: float) -> bool:
-        """Record an answer to ``request``; return whether it exempts any recorded crash."""
-        self._recent_answers.record(request, now)
+    def record_answer(self, fingerprint: RequestFingerprint, now: float) -> bool:
+        """Record an answer to a request; return whether it exempts any recorded crash."""
+        self._recent_answers.record(fingerprint, now)
         changed = False
-        for key, crash in self._crashes_by_content.get(request.content, {}).items():
-            is_own = key.caller == request.caller
+        for key, crash in self._crashes_by_content.get(fingerprint.content_digest, {}).items():
+            is_own = key.caller_digest == fingerprint.caller_digest
             exemption = Exemption.ALL_CALLERS if is_own else Exemption.OTHER_CALLERS
             if exemption & ~crash.exemption:
                 changed = crash.add_exemption(exemption | crash.exemption, now)
         if changed:
-            self._mark_changed(request.content, now)
+            self._mark_changed(fingerprint.content_digest, now)
         return changed
 
-    def lift(self, request: RequestFingerprint, now: float) -> bool:
-        """Exempt ``request`` for all callers; return whether any crash counted against it."""
+    def lift(self, fingerprint: RequestFingerprint, now: float) -> bool:
+        """Exempt a request for all callers; return whether any crash counted against it."""
         lifted = False
-        for crash in self._crashes_by_content.get(request.content, {}).values():
+        for crash in self._crashes_by_content.get(fingerprint.content_digest, {}).values():
             lifted = crash.add_exemption(Exemption.ALL_CALLERS | crash.exemption, now) or lifted
         if lifted:
-            self._mark_changed(request.content, now)
+            self._mark_changed(fingerprint.content_digest, now)
         return lifted
 
-    def standing(self, request: RequestFingerprint, now: float) -> CrashSummary:
-        """Return the crashes that count against ``request``."""
-        crashes = self._crashes_by_content.get(request.content)
+    def summary_for(self, fingerprint: RequestFingerprint, now: float) -> CrashSummary:
+        """Return the crashes that count against ``fingerprint``."""
+        crashes = self._crashes_by_content.get(fingerprint.content_digest)
         if crashes is None:
             return _NO_CRASHES
         _drop_expired(crashes, now)
-        return summarise_crashes(request.caller, crashes)
+        return summarise_crashes(fingerprint.caller_digest, crashes)
 
-    def is_urgent(self, weight: float, now: float) -> bool:
+    def should_broadcast_now(self, weight: float, now: float) -> bool:
         """Return whether to broadcast a change to a request of ``weight`` immediately.
 
         A ``True`` for a first crash delays the next one, see
@@ -126,38 +130,44 @@
 
     def quarantined(self, now: float) -> dict[RequestFingerprint, CrashSummary]:
         """Return the quarantined requests."""
-        requests = {
-            RequestFingerprint(content, key.caller)
-            for content, crashes in self._crashes_by_content.items()
+        fingerprints = {
+            RequestFingerprint(content_digest, key.caller_digest)
+            for content_digest, crashes in self._crashes_by_content.items()
             for key in crashes
         }
-        summaries = {request: self.standing(request, now) for request in requests}
+        summaries = {
+            fingerprint: self.summary_for(fingerprint, now) for fingerprint in fingerprints
+        }
         return {
-            request: summary for request, summary in summaries.items() if summary.is_quarantined
+            fingerprint: summary
+            for fingerprint, summary in summaries.items()
+            if summary.is_quarantined
         }
 
-    def reports_of(self, content: bytes, now: float) -> list[CrashReport]:
-        """Return all recorded crashes of requests with ``content``, from any caller."""
-        crashes = self._crashes_by_content.get(content, {})
-        return [_build_report(content, key, crash, now) for key, crash in crashes.items()]
+    def reports_for_content(self, content_digest: bytes, now: float) -> list[CrashReport]:
+        """Return all recorded crashes of requests with ``content_digest``, from any caller."""
+        crashes = self._crashes_by_content.get(content_digest, {})
+        return [_build_report(content_digest, key, crash, now) for key, crash in crashes.items()]
 
-    def reports(self, now: float) -> list[CrashReport]:
+    def next_reports(self, now: float) -> list[CrashReport]:
         """Return the crashes for the next report to other instances.
 
         Returns at most ``MAX_CRASHES_PER_REPORT`` and advances the rotation of the
         older ones.
         """
         self._recent_until_by_content = {
-            content: until
-            for content, until in self._recent_until_by_content.items()
+            content_digest: until
+            for content_digest, until in self._recent_until_by_content.items()
             if until > now
         }
         recent_changes: list[_RecentChange] = []
-        for content in self._recent_until_by_content:
-            crashes = self._crashes_by_content.get(content, {})
+        for content_digest in self._recent_until_by_content:
+            crashes = self._crashes_by_content.get(content_digest, {})
             weight = max_weight(crashes)
             recent_changes += [
-                _RecentChange(weight, crash.changed_at, _build_report(content, key, crash, now))
+                _RecentChange(
+                    weight, crash.changed_at, _build_report(content_digest, key, crash, now)
+                )
                 for key, crash in crashes.items()
                 if now - crash.changed_at < RECENT_CHANGE_S
             ]
@@ -167,24 +177,28 @@
             now, max_reports=MAX_CRASHES_PER_REPORT - len(recent_reports)
         )
 
-    def merge(self, reports: Iterable[CrashReport], now: float, *, held_s: float = 0.0) -> bool:
+    def merge(
+        self, reports: Iterable[CrashReport], now: float, *, report_age_s: float = 0.0
+    ) -> bool:
         """Merge reports of other instances; return whether to broadcast the changes now.
 
-        ``held_s`` is the age of the reports in seconds, which adds to the age of
+        ``report_age_s`` is the age of the reports in seconds, which adds to the age of
         each crash.
         """
         is_urgent = False
         for report in reports:
-            content = report.request.content
-            key = CrashKey(report.request.caller, report.endpoint)
-            crashed_at = now - report.age_s - held_s
-            was_quarantined = content in self._quarantined
-            if self._add(content, key, crashed_at=crashed_at, exemption=report.exemption, now=now):
-                weight = max_weight(self._crashes_by_content.get(content, {}))
-                is_urgent |= was_quarantined or self.is_urgent(weight, now)
+            content_digest = report.fingerprint.content_digest
+            key = CrashKey(report.fingerprint.caller_digest, report.endpoint_hash)
+            crashed_at = now - report.age_s - report_age_s
+            was_quarantined = content_digest in self._quarantined
+            if self._add(
+                content_digest, key, crashed_at=crashed_at, exemption=report.exemption, now=now
+            ):
+                weight = max_weight(self._crashes_by_content.get(content_digest, {}))
+                is_urgent |= was_quarantined or self.should_broadcast_now(weight, now)
         return is_urgent
 
-    def forget_old(self, now: float) -> None:
+    def delete_expired(self, now: float) -> None:
         """Delete expired crashes, at most once per ``EXPIRY_INTERVAL_S``."""
         if now - self._last_expiry_at < EXPIRY_INTERVAL_S:
             return
@@ -192,19 +206,27 @@
         for crashes in self._crashes_by_content.values():
             _drop_expired(crashes, now)
         self._crashes_by_content = {
-            content: crashes for content, crashes in self._crashes_by_content.items() if crashes
+            content_digest: crashes
+            for content_digest, crashes in self._crashes_by_content.items()
+            if crashes
         }
         self._quarantined &= self._crashes_by_content.keys()
 
     def _add(
-        self, content: bytes, key: CrashKey, *, crashed_at: float, exemption: Exemption, now: float
+        self,
+        content_digest: bytes,
+        key: CrashKey,
+        *,
+        crashed_at: float,
+        exemption: Exemption,
+        now: float,
     ) -> bool:
         if now - crashed_at >= CRASH_RETENTION_S:
             return False
         exemption |= self._recent_answers.exemption(
-            RequestFingerprint(content, key.caller), crashed_at
+            RequestFingerprint(content_digest, key.caller_digest), crashed_at
         )
-        crashes = self._crashes_by_content.setdefault(content, {})
+        crashes = self._crashes_by_content.setdefault(content_digest, {})
         existing = crashes.get(key)
         if existing is None:
             crashes[key] = Crash(crashed_at=crashed_at, exemption=exemption, now=now)
@@ -214,25 +236,25 @@
             is_change = existing.add_exemption(exemption, now)
         reporter_is_outdated = existing is not None and exemption != existing.exemption
         if is_change or reporter_is_outdated:
-            self._mark_changed(content, now)
-        if len(self._crashes_by_content) > MAX_REQUESTS:
+            self._mark_changed(content_digest, now)
+        if len(self._crashes_by_content) > MAX_TRACKED_REQUESTS:
             self._evict()
         return is_change
 
-    def _mark_changed(self, content: bytes, now: float) -> None:
-        self._recent_until_by_content[content] = now + RECENT_CHANGE_S
-        crashes = self._crashes_by_content[content]
-        if max_weight(crashes) >= QUARANTINE_CRASHES:
-            self._quarantined.add(content)
+    def _mark_changed(self, content_digest: bytes, now: float) -> None:
+        self._recent_until_by_content[content_digest] = now + RECENT_CHANGE_S
+        crashes = self._crashes_by_content[content_digest]
+        if max_weight(crashes) >= QUARANTINE_THRESHOLD:
+            self._quarantined.add(content_digest)
         else:
-            self._quarantined.discard(content)
+            self._quarantined.discard(content_digest)
 
     def _evict(self) -> None:
         """Delete the request with the lowest weight, among equals the oldest."""
 
-        def rank(content: bytes) -> tuple[float, float]:
-            crashes = self._crashes_by_content[content]
-            # Empty if its crashes have expired and ``forget_old`` has not run since.
+        def rank(content_digest: bytes) -> tuple[float, float]:
+            crashes = self._crashes_by_content[content_digest]
+            # Empty if its crashes have expired and ``delete_expired`` has not run since.
             last_crash_at = max(
                 (crash.crashed_at for crash in crashes.values()), default=float('-inf')
             )
@@ -250,18 +272,18 @@
         contents = sorted(self._quarantined)
         reported: list[CrashReport] = []
         for _ in contents:
-            content = contents[self._rotation_index % len(contents)]
-            reports = self._older_reports_of(content, now)
+            content_digest = contents[self._rotation_index % len(contents)]
+            reports = self._older_reports_for_content(content_digest, now)
             if len(reported) + len(reports) > max_reports:
                 break
             reported += reports
             self._rotation_index += 1
         return reported
 
-    def _older_reports_of(self, content: bytes, now: float) -> list[CrashReport]:
+    def _older_reports_for_content(self, content_digest: bytes, now: float) -> list[CrashReport]:
         reports = [
-            _build_report(content, key, crash, now)
-            for key, crash in self._crashes_by_content[content].items()
+            _build_report(content_digest, key, crash, now)
+            for key, crash in self._crashes_by_content[content_digest].items()
             if now - crash.changed_at >= RECENT_CHANGE_S
             and not crash.exemption & Exemption.ALL_CALLERS
         ]
@@ -288,6 +310,8 @@
     return change.weight, change.changed_at
 
 
-def _build_report(content: bytes, key: CrashKey, crash: Crash, now: float) -> CrashReport:
-    request = RequestFingerprint(content, key.caller)
-    return CrashReport(request, key.endpoint, max(0.0, now - crash.crashed_at), crash.exemption)
+def _build_report(content_digest: bytes, key: CrashKey, crash: Crash, now: float) -> CrashReport:
+    fingerprint = RequestFingerprint(content_digest, key.caller_digest)
+    return CrashReport(
+        fingerprint, key.endpoint_hash, max(0.0, now - crash.crashed_at), crash.exemption
+    )
--- a/packages/node/src/plantainloft_node/quarantine/crash_checks.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_checks.py
@@ -13,7 +13,7 @@
 from plantainloft_node.engine.endpoint_link import CONNECT_TIMEOUT_S, connect
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
 
-__all__ = ['CrashChecks', 'EndpointRun']
+__all__ = ['CrashDetector', 'EndpointAttempt']
 
 log = logging.getLogger(__name__)
 
@@ -23,30 +23,30 @@
 CHECK_WORKERS = 8
 
 
-class EndpointRun(NamedTuple):
+class EndpointAttempt(NamedTuple):
     """A request that was sent to an endpoint and may have run there."""
 
-    request: RequestFingerprint
+    fingerprint: RequestFingerprint
     request_id: str
     incarnation: str
     address: str
 
 
-class CrashChecks:
+class CrashDetector:
     """Checks endpoints whose connections broke and reports crashes."""
 
-    def __init__(self, *, on_crash: Callable[[EndpointRun, float], None]) -> None:
-        """``on_crash`` is called with each run whose endpoint crashed and the time."""
+    def __init__(self, *, on_crash: Callable[[EndpointAttempt, float], None]) -> None:
+        """``on_crash`` is called with each attempt whose endpoint crashed and the time."""
         self._on_crash = on_crash
-        streams = anyio.create_memory_object_stream[EndpointRun](MAX_QUEUED_CHECKS)
+        streams = anyio.create_memory_object_stream[EndpointAttempt](MAX_QUEUED_CHECKS)
         self._send_stream = streams[0]
         self._receive_stream = streams[1]
         self._check_by_incarnation: dict[str, _Check] = {}
 
-    def note_broken(self, run: EndpointRun) -> None:
-        """Queue a check of the endpoint of ``run``, whose connection broke."""
+    def check_after_disconnect(self, attempt: EndpointAttempt) -> None:
+        """Queue a check of the endpoint of ``attempt``, whose connection broke."""
         try:
-            self._send_stream.send_nowait(run)
+            self._send_stream.send_nowait(attempt)
         except anyio.WouldBlock:
             log.warning('Crash check: queue is full, check skipped.', extra={'kind': 'crash_check'})
 
@@ -57,32 +57,32 @@
                 tasks.start_soon(self._check_queued)
 
     async def _check_queued(self) -> None:
-        async for run in self._receive_stream:
-            crashed = await self._has_crashed(run)
+        async for attempt in self._receive_stream:
+            crashed = await self._has_crashed(attempt)
             now = anyio.current_time()
             fields = {
-                'request': run.request_id,
-                'fingerprint': str(run.request),
-                'endpoint': run.incarnation,
+                'request': attempt.request_id,
+                'fingerprint': str(attempt.fingerprint),
+                'endpoint': attempt.incarnation,
                 'ended': crashed,
             }
             log.info(
                 'Crash check: endpoint %s %s after a broken connection.',
-                run.incarnation,
+                attempt.incarnation,
                 'has crashed' if crashed else 'is running',
                 extra={'kind': 'crash_check', 'fields': fields},
             )
             if crashed:
-                self._on_crash(run, now)
+                self._on_crash(attempt, now)
 
-    async def _has_crashed(self, run: EndpointRun) -> bool:
+    async def _has_crashed(self, attempt: EndpointAttempt) -> bool:
         now = anyio.current_time()
-        check = self._check_by_incarnation.get(run.incarnation)
+        check = self._check_by_incarnation.get(attempt.incarnation)
         if check is None or now - check.started_at >= CHECK_REUSE_S:
             self._drop_old_checks(now)
             check = _Check(started_at=now)
-            self._check_by_incarnation[run.incarnation] = check
-            check.crashed = not await _accepts_connections(run.address)
+            self._check_by_incarnation[attempt.incarnation] = check
+            check.crashed = not await _accepts_connections(attempt.address)
             check.done.set()
         await check.done.wait()
         return check.crashed
--- a/packages/node/src/plantainloft_node/quarantine/crash_codec.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_codec.py
@@ -22,8 +22,8 @@
     """Encode ``reports``; ages are rounded to whole seconds."""
     return b''.join(
         _CRASH_STRUCT.pack(
-            *report.request,
-            report.endpoint,
+            *report.fingerprint,
+            report.endpoint_hash,
             min(_MAX_AGE_S, round(report.age_s)),
             report.exemption,
         )
@@ -39,12 +39,12 @@
         raise ValueError(f'{len(packed)} bytes exceed the limit of {max_crashes} crashes')
     return tuple(
         CrashReport(
-            request=RequestFingerprint(content, caller),
-            endpoint=endpoint,
+            fingerprint=RequestFingerprint(content, caller),
+            endpoint_hash=endpoint_hash,
             age_s=float(age_s),
             exemption=_parse_exemption(exemption),
         )
-        for content, caller, endpoint, age_s, exemption in _CRASH_STRUCT.iter_unpack(packed)
+        for content, caller, endpoint_hash, age_s, exemption in _CRASH_STRUCT.iter_unpack(packed)
     )
 
 
--- a/packages/node/src/plantainloft_node/quarantine/crashes.py
+++ b/packages/node/src/plantainloft_node/quarantine/crashes.py
@@ -7,7 +7,7 @@
 
 __all__ = [
     'CRASH_RETENTION_S',
-    'QUARANTINE_CRASHES',
+    'QUARANTINE_THRESHOLD',
     'Crash',
     'CrashKey',
     'CrashReport',
@@ -19,9 +19,9 @@
 ]
 
 # A request is quarantined once its crashes reach this weight.
-QUARANTINE_CRASHES = 3
+QUARANTINE_THRESHOLD = 3
 # Delay before a quarantined request gets one trial; doubles with each further crash.
-HOLD_S = 30.0
+INITIAL_TRIAL_DELAY_S = 30.0
 CRASH_RETENTION_S = 3600.0
 ANSWERED_BEFORE_WEIGHT = 0.5
 _NEVER = float('-inf')
@@ -48,11 +48,11 @@
 class CrashReport(NamedTuple):
     """A crash as instances report it to each other.
 
-    ``endpoint`` is a hash of the incarnation that crashed, ``age_s`` seconds ago.
+    ``endpoint_hash`` is a hash of the incarnation that crashed, ``age_s`` seconds ago.
     """
 
-    request: RequestFingerprint
-    endpoint: int
+    fingerprint: RequestFingerprint
+    endpoint_hash: int
     age_s: float
     exemption: Exemption
 
@@ -64,20 +64,20 @@
     before, see ``Exemption.ANSWERED_BEFORE``.
     """
 
-    crashes: int
+    crash_count: int
     weight: float
     last_crash_at: float
 
     @property
     def is_quarantined(self) -> bool:
         """Whether the request must not be sent to any endpoint."""
-        return self.weight >= QUARANTINE_CRASHES
+        return self.weight >= QUARANTINE_THRESHOLD
 
     @property
     def trial_delay_s(self) -> float:
         """Seconds from the last crash to the next trial."""
-        doublings = max(0, int(self.weight) - QUARANTINE_CRASHES)
-        return float(min(CRASH_RETENTION_S, HOLD_S * 2**doublings))
+        doublings = max(0, int(self.weight) - QUARANTINE_THRESHOLD)
+        return float(min(CRASH_RETENTION_S, INITIAL_TRIAL_DELAY_S * 2**doublings))
 
     def is_trial_due(self, now: float) -> bool:
         """Return whether the delay since the last crash is over."""
@@ -87,8 +87,8 @@
 class CrashKey(NamedTuple):
     """The caller of the request and a hash of the endpoint incarnation that crashed."""
 
-    caller: bytes
-    endpoint: int
+    caller_digest: bytes
+    endpoint_hash: int
 
 
 class Crash:
@@ -112,26 +112,28 @@
 CrashesByKey = dict[CrashKey, Crash]
 
 
-def summarise_crashes(caller: bytes, crashes: CrashesByKey) -> CrashSummary:
-    """Return which ``crashes`` of a request count against ``caller``.
+def summarise_crashes(caller_digest: bytes, crashes: CrashesByKey) -> CrashSummary:
+    """Return which ``crashes`` of a request count against ``caller_digest``.
 
     A request may crash endpoints only for one caller, or for all. If it did so for
     several callers and no caller was answered, all of these crashes count against
     every caller.
     """
     counted = _without(crashes, Exemption.ALL_CALLERS)
-    own = {key: crash for key, crash in counted.items() if key.caller == caller}
+    own = {key: crash for key, crash in counted.items() if key.caller_digest == caller_digest}
     shared = _without(crashes, Exemption.OTHER_CALLERS | Exemption.ALL_CALLERS)
     summaries = [_total(own)]
-    if len({key.caller for key in shared}) > 1:
+    if len({key.caller_digest for key in shared}) > 1:
         summaries.append(_total(shared))
     return max(summaries, key=_weight)
 
 
 def max_weight(crashes: CrashesByKey) -> float:
     """Return the highest weight of ``crashes`` of a request for any caller."""
-    callers = {key.caller for key in crashes}
-    return max((summarise_crashes(caller, crashes).weight for caller in callers), default=0.0)
+    callers = {key.caller_digest for key in crashes}
+    return max(
+        (summarise_crashes(caller_digest, crashes).weight for caller_digest in callers), default=0.0
+    )
 
 
 def _without(crashes: CrashesByKey, exemption: Exemption) -> CrashesByKey:
@@ -141,10 +143,10 @@
 def _total(crashes: CrashesByKey) -> CrashSummary:
     weight_by_endpoint: dict[int, float] = {}
     for key, crash in crashes.items():
-        existing = weight_by_endpoint.get(key.endpoint, 0.0)
-        weight_by_endpoint[key.endpoint] = max(existing, _weight_of(crash))
+        existing = weight_by_endpoint.get(key.endpoint_hash, 0.0)
+        weight_by_endpoint[key.endpoint_hash] = max(existing, _weight_of(crash))
     return CrashSummary(
-        crashes=len(weight_by_endpoint),
+        crash_count=len(weight_by_endpoint),
         weight=sum(weight_by_endpoint.values()),
         last_crash_at=max((crash.crashed_at for crash in crashes.values()), default=_NEVER),
     )
--- a/packages/node/src/plantainloft_node/quarantine/fingerprints.py
+++ b/packages/node/src/plantainloft_node/quarantine/fingerprints.py
@@ -8,7 +8,7 @@
     'CALLER_BYTES',
     'CONTENT_BYTES',
     'RequestFingerprint',
-    'fingerprint_of',
+    'compute_fingerprint',
     'parse_fingerprint',
 ]
 
@@ -21,19 +21,19 @@
 class RequestFingerprint(NamedTuple):
     """Digests of a request; repeats have the same ones, whatever their request id.
 
-    ``content`` covers method, host, path, query and body; ``caller`` covers the
+    ``content_digest`` covers method, host, path, query and body; ``caller_digest`` covers the
     credentials or the address of the caller.
     """
 
-    content: bytes
-    caller: bytes
+    content_digest: bytes
+    caller_digest: bytes
 
     def __str__(self) -> str:
         """Return both digests in hexadecimal, the form that operators read and type."""
-        return f'{self.content.hex()}-{self.caller.hex()}'
+        return f'{self.content_digest.hex()}-{self.caller_digest.hex()}'
 
 
-def fingerprint_of(
+def compute_fingerprint(
     *,
     method: bytes,
     host: bytes,
@@ -49,22 +49,24 @@
     """
     identity = [credential for credential in credentials if credential] or [address.encode()]
     return RequestFingerprint(
-        content=_digest(
+        content_digest=_digest(
             (method, host.lower(), target, body[:MAX_HASHED_BODY_BYTES]), size=CONTENT_BYTES
         ),
-        caller=_digest(identity, size=CALLER_BYTES),
+        caller_digest=_digest(identity, size=CALLER_BYTES),
     )
 
 
 def parse_fingerprint(text: str) -> RequestFingerprint | None:
     """Parse the form that operators type; return ``None`` if ``text`` is malformed."""
-    content, _, caller = text.partition('-')
+    content_digest, _, caller_digest = text.partition('-')
     try:
-        request = RequestFingerprint(bytes.fromhex(content), bytes.fromhex(caller))
+        fingerprint = RequestFingerprint(
+            bytes.fromhex(content_digest), bytes.fromhex(caller_digest)
+        )
     except ValueError:
         return None
-    sizes = (len(request.content), len(request.caller))
-    return request if sizes == (CONTENT_BYTES, CALLER_BYTES) else None
+    sizes = (len(fingerprint.content_digest), len(fingerprint.caller_digest))
+    return fingerprint if sizes == (CONTENT_BYTES, CALLER_BYTES) else None
 
 
 def _digest(parts: Iterable[bytes], *, size: int) -> bytes:
--- a/packages/node/src/plantainloft_node/quarantine/quarantine.py
+++ b/packages/node/src/plantainloft_node/quarantine/quarantine.py
@@ -9,13 +9,13 @@
 import anyio
 
 from plantainloft_core.outcomes import Invalid, Unreachable
-from plantainloft_node.quarantine.crash_book import CrashBook
-from plantainloft_node.quarantine.crash_checks import EndpointRun
+from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crash_checks import EndpointAttempt
 from plantainloft_node.quarantine.crashes import CRASH_RETENTION_S, CrashSummary
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
 from plantainloft_node.quarantine.records import QuarantineRecord, QuarantineStore, StoredRecord
 
-__all__ = ['Admission', 'Admitted', 'Quarantine', 'QuarantineEntry', 'ShutOut', 'Trial']
+__all__ = ['AdmissionDecision', 'Admitted', 'Blocked', 'Quarantine', 'QuarantineEntry', 'Trial']
 
 log = logging.getLogger(__name__)
 
@@ -48,11 +48,11 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ShutOut:
-    """The request is quarantined: ``crashes`` endpoints crashed while running it."""
+class Blocked:
+    """The request is quarantined: ``crash_count`` endpoints crashed while running it."""
 
-    request: RequestFingerprint
-    crashes: int
+    fingerprint: RequestFingerprint
+    crash_count: int
 
 
 class QuarantineEntry(TypedDict):
@@ -64,7 +64,7 @@
     tried_again_in_s: int
 
 
-Admission = Admitted | Trial | ShutOut
+AdmissionDecision = Admitted | Trial | Blocked
 
 
 class Quarantine:
@@ -73,91 +73,93 @@
     def __init__(
         self,
         *,
-        book: CrashBook,
+        crash_registry: CrashRegistry,
         store: QuarantineStore,
-        is_alone: Callable[[], bool],
-        spread: Callable[[], None],
+        has_no_live_peers: Callable[[], bool],
+        broadcast: Callable[[], None],
     ) -> None:
         """Set up the quarantine.
 
-        ``spread`` broadcasts changes to the other instances, ``is_alone`` returns
-        whether there are no live ones.
+        ``broadcast`` sends changes to the other instances, ``has_no_live_peers``
+        returns whether there are no live ones.
         """
-        self.book = book
+        self.crash_registry = crash_registry
         self._store = store
-        self._is_alone = is_alone
-        self._spread = spread
+        self._has_no_live_peers = has_no_live_peers
+        self._broadcast = broadcast
         self._unsaved_contents: set[bytes] = set()
         self._wake = anyio.Event()
         self._last_refresh_at = float('-inf')
         self._last_claim_at = float('-inf')
 
-    def note_crash(self, run: EndpointRun, now: float) -> None:
-        """Record that the endpoint of ``run`` crashed."""
-        summary = self.book.note_crash(run.request, run.incarnation, now)
+    def record_crash(self, attempt: EndpointAttempt, now: float) -> None:
+        """Record that the endpoint of ``attempt`` crashed."""
+        summary = self.crash_registry.record_crash(attempt.fingerprint, attempt.incarnation, now)
         if summary.is_quarantined:
-            self._log('Quarantine: request %s is quarantined.', run.request, summary)
-            self._schedule_write(run.request)
-        elif self._is_alone() and now - self._last_refresh_at >= STORE_REFRESH_INTERVAL_S:
+            self._log('Quarantine: request %s is quarantined.', attempt.fingerprint, summary)
+            self._schedule_write(attempt.fingerprint)
+        elif self._has_no_live_peers() and now - self._last_refresh_at >= STORE_REFRESH_INTERVAL_S:
             self._last_refresh_at = now
             self._wake.set()
-        if self.book.is_urgent(summary.weight, now):
-            self._spread()
+        if self.crash_registry.should_broadcast_now(summary.weight, now):
+            self._broadcast()
 
-    def note_answered(self, request: RequestFingerprint, now: float) -> None:
-        """Record an answer to ``request``, which shows that it does not crash every endpoint."""
-        before = self.book.standing(request, now)
-        if not self.book.note_answered(request, now):
+    def record_answer(self, fingerprint: RequestFingerprint, now: float) -> None:
+        """Record an answer to a request, which shows that it does not crash every endpoint."""
+        before = self.crash_registry.summary_for(fingerprint, now)
+        if not self.crash_registry.record_answer(fingerprint, now):
             return
         if before.is_quarantined:
-            self._log('Quarantine: request %s was answered and is released.', request, before)
-            self._schedule_write(request)
-        if self.book.is_urgent(before.weight, now):
-            self._spread()
-
-    def lift(self, request: RequestFingerprint, now: float) -> bool:
-        """Release ``request`` on behalf of an operator; return whether crashes counted."""
-        before = self.book.standing(request, now)
-        if not self.book.lift(request, now):
+            self._log('Quarantine: request %s was answered and is released.', fingerprint, before)
+            self._schedule_write(fingerprint)
+        if self.crash_registry.should_broadcast_now(before.weight, now):
+            self._broadcast()
+
+    def lift(self, fingerprint: RequestFingerprint, now: float) -> bool:
+        """Release a request on behalf of an operator; return whether crashes counted."""
+        before = self.crash_registry.summary_for(fingerprint, now)
+        if not self.crash_registry.lift(fingerprint, now):
             return False
-        self._log('Quarantine: request %s was released by an operator.', request, before)
-        self._schedule_write(request)
-        self._spread()
+        self._log('Quarantine: request %s was released by an operator.', fingerprint, before)
+        self._schedule_write(fingerprint)
+        self._broadcast()
         return True
 
-    def listing(self, now: float) -> list[QuarantineEntry]:
+    def list_entries(self, now: float) -> list[QuarantineEntry]:
         """Return the quarantined requests, those with most crashes first."""
-        quarantined = self.book.quarantined(now).items()
-        by_crashes = sorted(quarantined, key=lambda item: item[1].crashes, reverse=True)
+        quarantined = self.crash_registry.quarantined(now).items()
+        by_crashes = sorted(quarantined, key=lambda item: item[1].crash_count, reverse=True)
         return [
             QuarantineEntry(
-                request=str(request),
-                crashes=summary.crashes,
+                request=str(fingerprint),
+                crashes=summary.crash_count,
                 last_crash_s_ago=round(now - summary.last_crash_at),
                 tried_again_in_s=max(0, round(summary.last_crash_at + summary.trial_delay_s - now)),
             )
-            for request, summary in by_crashes
+            for fingerprint, summary in by_crashes
         ]
 
-    async def admit(self, request: RequestFingerprint) -> Admission:
-        """Return whether ``request`` may be sent now.
+    async def admit(self, fingerprint: RequestFingerprint) -> AdmissionDecision:
+        """Return whether a request may be sent now.
 
         Once the trial delay is over, one instance may try a quarantined request.
         """
         now = anyio.current_time()
-        summary = self.book.standing(request, now)
+        summary = self.crash_registry.summary_for(fingerprint, now)
         if not summary.is_quarantined:
-            return Admitted(suspect=summary.crashes > 0)
+            return Admitted(suspect=summary.crash_count > 0)
         if summary.is_trial_due(now):
             with anyio.move_on_after(TRIAL_CLAIM_TIMEOUT_S):
-                if await self._claim_trial(request):
-                    self._log('Quarantine: request %s gets a trial.', request, summary)
+                if await self._claim_trial(fingerprint):
+                    self._log('Quarantine: request %s gets a trial.', fingerprint, summary)
                     return Trial()
-        return ShutOut(request=request, crashes=summary.crashes)
+        return Blocked(fingerprint=fingerprint, crash_count=summary.crash_count)
 
-    def build_record(self, content: bytes, *, last_trial_at: float = 0.0) -> QuarantineRecord:
-        """Return the store record of all crashes of requests with ``content``."""
-        crashes = self.book.reports_of(content, anyio.current_time())
+    def build_record(
+        self, content_digest: bytes, *, last_trial_at: float = 0.0
+    ) -> QuarantineRecord:
+        """Return the store record of all crashes of requests with ``content_digest``."""
+        crashes = self.crash_registry.reports_for_content(content_digest, anyio.current_time())
         return QuarantineRecord(time.time(), last_trial_at, tuple(crashes))
 
     async def run(self) -> None:
@@ -172,8 +174,8 @@
             else:
                 await self._load_rows()
 
-    def _schedule_write(self, request: RequestFingerprint) -> None:
-        self._unsaved_contents.add(request.content)
+    def _schedule_write(self, fingerprint: RequestFingerprint) -> None:
+        self._unsaved_contents.add(fingerprint.content_digest)
         self._wake.set()
 
     async def _load_rows(self) -> list[StoredRecord] | Unreachable:
@@ -192,19 +194,21 @@
         if record_age_s >= CRASH_RETENTION_S:
             await self._store.remove(row)
             return
-        self.book.merge(record.crashes, anyio.current_time(), held_s=record_age_s)
+        self.crash_registry.merge(record.crashes, anyio.current_time(), report_age_s=record_age_s)
 
     async def _write_unsaved(self) -> None:
-        for content in list(self._unsaved_contents):
-            record = self.build_record(content)
-            if isinstance(await self._store.write(content.hex(), record.pack()), Unreachable):
+        for content_digest in list(self._unsaved_contents):
+            record = self.build_record(content_digest)
+            if isinstance(
+                await self._store.write(content_digest.hex(), record.pack()), Unreachable
+            ):
                 await anyio.sleep(STORE_RETRY_S)
                 self._wake.set()
                 return
-            self._unsaved_contents.discard(content)
+            self._unsaved_contents.discard(content_digest)
 
-    async def _claim_trial(self, request: RequestFingerprint) -> bool:
-        """Claim the trial of ``request``; return whether this instance got it.
+    async def _claim_trial(self, fingerprint: RequestFingerprint) -> bool:
+        """Claim the trial of a request; return whether this instance got it.
 
         A conditional write to the store decides between instances that claim at
         the same time. There is no trial while the store is unreachable.
@@ -216,18 +220,18 @@
         rows = await self._load_rows()
         if isinstance(rows, Unreachable):
             return False
-        row = next((row for row in rows if row.key == request.content.hex()), None)
+        row = next((row for row in rows if row.key == fingerprint.content_digest.hex()), None)
         record = None if row is None else row.unpack()
         if row is None or not isinstance(record, QuarantineRecord):
-            self._schedule_write(request)
+            self._schedule_write(fingerprint)
             return False
-        summary = self.book.standing(request, anyio.current_time())
+        summary = self.crash_registry.summary_for(fingerprint, anyio.current_time())
         tried_recently = time.time() - record.last_trial_at < summary.trial_delay_s
         if tried_recently or not summary.is_trial_due(anyio.current_time()):
             return False
-        claim = self.build_record(request.content, last_trial_at=time.time())
+        claim = self.build_record(fingerprint.content_digest, last_trial_at=time.time())
         return await self._store.replace(row, claim.pack()) is None
 
-    def _log(self, message: str, request: RequestFingerprint, summary: CrashSummary) -> None:
-        fields = {'fingerprint': str(request), 'crashes': summary.crashes}
-        log.warning(message, request, extra={'kind': 'quarantine', 'fields': fields})
+    def _log(self, message: str, fingerprint: RequestFingerprint, summary: CrashSummary) -> None:
+        fields = {'fingerprint': str(fingerprint), 'crashes': summary.crash_count}
+        log.warning(message, fingerprint, extra={'kind': 'quarantine', 'fields': fields})
--- a/packages/node/src/plantainloft_node/quarantine/recent_answers.py
+++ b/packages/node/src/plantainloft_node/quarantine/recent_answers.py
@@ -20,22 +20,25 @@
     def __init__(self) -> None:
         self._answered_at: OrderedDict[int, float] = OrderedDict()
 
-    def record(self, request: RequestFingerprint, now: float) -> None:
-        """Record an answer to ``request``."""
-        for key in (hash(request), hash(request.content)):
+    def record(self, fingerprint: RequestFingerprint, now: float) -> None:
+        """Record an answer to a request."""
+        for key in (hash(fingerprint), hash(fingerprint.content_digest)):
             self._answered_at[key] = now
             self._answered_at.move_to_end(key)
         while len(self._answered_at) > MAX_ENTRIES:
             self._answered_at.popitem(last=False)
 
-    def exemption(self, request: RequestFingerprint, crashed_at: float) -> Exemption:
+    def exemption(self, fingerprint: RequestFingerprint, crashed_at: float) -> Exemption:
         """Return the exemption of a crash at ``crashed_at`` that follows from answers.
 
         Answers from ``ANSWER_RETENTION_S`` before the crash onwards count.
         """
         exemption = Exemption.NONE
-        if self._answered_at.get(hash(request), _NEVER) > crashed_at - ANSWER_RETENTION_S:
+        if self._answered_at.get(hash(fingerprint), _NEVER) > crashed_at - ANSWER_RETENTION_S:
             exemption |= Exemption.ANSWERED_BEFORE
-        if self._answered_at.get(hash(request.content), _NEVER) > crashed_at - ANSWER_RETENTION_S:
+        if (
+            self._answered_at.get(hash(fingerprint.content_digest), _NEVER)
+            > crashed_at - ANSWER_RETENTION_S
+        ):
             exemption |= Exemption.OTHER_CALLERS
         return exemption
--- a/packages/node/src/plantainloft_node/quarantine/records.py
+++ b/packages/node/src/plantainloft_node/quarantine/records.py
@@ -15,7 +15,7 @@
 from plantainloft_node.quarantine.crash_codec import pack_crashes, unpack_crashes
 from plantainloft_node.quarantine.crashes import CrashReport
 
-__all__ = ['Outdated', 'QuarantineRecord', 'QuarantineStore', 'StoredRecord']
+__all__ = ['QuarantineRecord', 'QuarantineStore', 'StoredRecord', 'VersionConflict']
 
 _MALFORMED = (ValueError, TypeError, struct.error, msgpack.UnpackException)
 
@@ -32,10 +32,10 @@
 
     def pack(self) -> bytes:
         """Encode the record."""
-        packed: bytes = msgpack.packb(
+        encoded: bytes = msgpack.packb(
             [self.written_at, self.last_trial_at, pack_crashes(self.crashes)]
         )
-        return packed
+        return encoded
 
 
 class StoredRecord(NamedTuple):
@@ -43,18 +43,18 @@
 
     key: str
     version: int
-    packed: bytes
+    encoded: bytes
 
     def unpack(self) -> QuarantineRecord | Invalid:
         """Decode the record; return ``Invalid`` if it is malformed."""
         try:
-            return _unpack_record(self.packed)
+            return _unpack_record(self.encoded)
         except _MALFORMED as exc:
             return Invalid(problems=(f'row {self.key} is not a valid quarantine record: {exc}',))
 
 
-def _unpack_record(packed: bytes) -> QuarantineRecord:
-    written_at, last_trial_at, crashes = msgpack.unpackb(packed)
+def _unpack_record(encoded: bytes) -> QuarantineRecord:
+    written_at, last_trial_at, crashes = msgpack.unpackb(encoded)
     return QuarantineRecord(
         written_at=float(written_at),
         last_trial_at=float(last_trial_at),
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Outdated:
+class VersionConflict:
     """The row has changed since it was read, so nothing was written."""
 
 
@@ -75,11 +75,13 @@
         """Return all rows."""
 
     @abstractmethod
-    async def write(self, key: str, packed: bytes) -> Unreachable | None:
+    async def write(self, key: str, encoded: bytes) -> Unreachable | None:
         """Write a row unconditionally."""
 
     @abstractmethod
-    async def replace(self, row: StoredRecord, packed: bytes) -> Outdated | Unreachable | None:
+    async def replace(
+        self, row: StoredRecord, encoded: bytes
+    ) -> VersionConflict | Unreachable | None:
         """Replace the record of ``row`` if its version is unchanged."""
 
     @abstractmethod
--- a/packages/node/src/plantainloft_node/replica/follower.py
+++ b/packages/node/src/plantainloft_node/replica/follower.py
@@ -30,23 +30,24 @@
         table: str,
         store: NewsStore,
         rows: RowCopy,
-        beliefs: Beliefs,
+        routing_state: Beliefs,
         pause_s: float,
-        wait_s: Callable[[], float],
-        rests: Callable[[], bool],
+        long_poll_wait_s: Callable[[], float],
+        delegates_polling: Callable[[], bool],
     ) -> None:
         """``pause_s`` is the pause after each change, which batches further ones.
 
-        ``wait_s`` returns how long a poll waits for a change, ``rests`` whether
-        other instances poll the table on behalf of this one.
+        ``long_poll_wait_s`` returns how long a poll waits for a change,
+        ``delegates_polling`` whether other instances poll the table on behalf of this
+        one.
         """
         self._table = table
         self._store = store
         self._rows = rows
-        self._beliefs = beliefs
+        self._routing_state = routing_state
         self._pause_s = pause_s
-        self._wait_s = wait_s
-        self._rests = rests
+        self._long_poll_wait_s = long_poll_wait_s
+        self._delegates_polling = delegates_polling
         self._last_version: int | None = None
         self._backoff_s = BACKOFF_MIN_S
         self.in_touch = False
@@ -68,7 +69,7 @@
     async def run(self) -> None:
         """Follow the table until cancelled."""
         while True:
-            while self.has_listed and self._rests() and not self._poll_requested:
+            while self.has_listed and self._delegates_polling() and not self._poll_requested:
                 await anyio.sleep(REST_CHECK_INTERVAL_S)
             self._woken = anyio.Event()
             await self._poll()
@@ -91,10 +92,10 @@
             return
         now = anyio.current_time()
         if isinstance(outcome, Unreachable):
-            self._beliefs.store.note_failed(due_at=min(sent_at + wait_s, now))
+            self._routing_state.store.note_failed(due_at=min(sent_at + wait_s, now))
             await self._handle_unreachable(outcome.reason)
             return
-        self._beliefs.store.note_answered(sent_at=sent_at, now=now)
+        self._routing_state.store.note_answered(sent_at=sent_at, now=now)
         if not self.in_touch:
             self.in_touch = True
             log.info('Store: following %s again.', self._table, extra={'kind': 'store_regained'})
@@ -120,7 +121,7 @@
         # An unresponsive store drops the calls that it receives. A long poll sent
         # during an outage times out only seconds after the outage, and until then
         # the recovery goes unnoticed. So polls do not wait while out of touch.
-        return self._wait_s() if self.in_touch and self._last_version is not None else 0.0
+        return self._long_poll_wait_s() if self.in_touch and self._last_version is not None else 0.0
 
     async def _fetch(self, wait_s: float) -> News | HistoryLost | Unreachable:
         if self._last_version is None:
@@ -135,7 +136,7 @@
         else:
             fresh = self._rows.merge(news.rows)
         self._last_version = news.version
-        self._beliefs.take(fresh, now, source='store')
+        self._routing_state.take(fresh, now, source='store')
 
     async def _handle_unreachable(self, reason: str) -> None:
         if self.in_touch:
--- a/packages/standins/src/plantainloft_standins/crash_model.py
+++ b/packages/standins/src/plantainloft_standins/crash_model.py
@@ -10,9 +10,9 @@
 from typing import NamedTuple
 
 from plantainloft_node.engine.dispatch import MAX_CONNECT_FAILURES
-from plantainloft_node.quarantine.crash_book import CrashBook
-from plantainloft_node.quarantine.crashes import QUARANTINE_CRASHES, CrashReport
-from plantainloft_node.quarantine.fingerprints import RequestFingerprint, fingerprint_of
+from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crashes import QUARANTINE_THRESHOLD, CrashReport
+from plantainloft_node.quarantine.fingerprints import RequestFingerprint, compute_fingerprint
 from plantainloft_standins.fleet_model import FleetModel, ModelInstance
 
 __all__ = ['CrashResults', 'CrashScenario', 'CrashSimulation', 'FatalRequest', 'Outcome']
@@ -88,9 +88,9 @@
     def arrivals_after_propagation(self, path: str) -> int:
         """Return the requests sent later than ``PROPAGATION_S`` after the third crash."""
         crashes = self.crashes_by_path.get(path, [])
-        if len(crashes) < QUARANTINE_CRASHES:
+        if len(crashes) < QUARANTINE_THRESHOLD:
             return 0
-        third = crashes[QUARANTINE_CRASHES - 1]
+        third = crashes[QUARANTINE_THRESHOLD - 1]
         return sum(at > third + PROPAGATION_S for at in self.arrivals_by_path.get(path, ()))
 
     def share(self, kind: str) -> float:
@@ -98,7 +98,7 @@
         matching = [outcome for outcome in self.outcomes if outcome.kind == kind]
         return len(matching) / max(1, len(self.outcomes))
 
-    def longest_shut_out_s(self) -> float:
+    def longest_blocked_s(self) -> float:
         """Return the longest time for which a background path was shut out."""
         since_by_path: dict[str, float] = {}
         longest_s = 0.0
@@ -159,15 +159,15 @@
         self._model = model
         self._row_by_content: dict[bytes, _Row] = {}
 
-    def write(self, crashes: CrashBook, fingerprint: RequestFingerprint) -> None:
+    def write(self, crash_registry: CrashRegistry, fingerprint: RequestFingerprint) -> None:
         now = self._model.now
-        reports = crashes.reports_of(fingerprint.content, now)
-        self._row_by_content[fingerprint.content] = _Row(now, tuple(reports))
+        reports = crash_registry.reports_for_content(fingerprint.content_digest, now)
+        self._row_by_content[fingerprint.content_digest] = _Row(now, tuple(reports))
 
-    def read(self, crashes: CrashBook) -> None:
+    def read(self, crash_registry: CrashRegistry) -> None:
         now = self._model.now
         for row in self._row_by_content.values():
-            crashes.merge(row.reports, now, held_s=now - row.written_at)
+            crash_registry.merge(row.reports, now, report_age_s=now - row.written_at)
 
 
 class CrashSimulation:
@@ -196,8 +196,8 @@
     def note_restart(self, name: str) -> None:
         """Record that an instance has restarted; it reads the quarantine from the store."""
         self._restarted_at_by_name[name] = self.model.now
-        crashes = self.model.instance_by_name[name].crashes
-        self.model.after(STORE_LATENCY_S, partial(self._store.read, crashes))
+        crash_registry = self.model.instance_by_name[name].crash_registry
+        self.model.after(STORE_LATENCY_S, partial(self._store.read, crash_registry))
 
     def _has_ended(self) -> bool:
         return self.model.now > self._started_at + self._scenario.duration_s
@@ -230,7 +230,7 @@
             self.model.after(self._rng.expovariate(self._scenario.kills_per_s), self._kill)
 
     def _new_request(self, path: str, *, idempotent: bool) -> _Request:
-        fingerprint = fingerprint_of(
+        fingerprint = compute_fingerprint(
             method=b'GET', host=b'desk', target=path.encode(), body=b'', address='10.0.0.1'
         )
         return _Request(
@@ -241,9 +241,9 @@
         )
 
     def _admit(self, request: _Request) -> None:
-        standing = request.instance.crashes.standing(request.fingerprint, self.model.now)
-        request.is_suspect = standing.crashes > 0
-        if standing.is_quarantined:
+        summary = request.instance.crash_registry.summary_for(request.fingerprint, self.model.now)
+        request.is_suspect = summary.crash_count > 0
+        if summary.is_quarantined:
             self._finish(request, 'shut_out')
         else:
             self._send(request)
@@ -291,21 +291,21 @@
 
     def _confirm_crash(self, request: _Request, incarnation: str) -> None:
         if request.instance.runs:
-            crashes = request.instance.crashes
-            standing = crashes.note_crash(request.fingerprint, incarnation, self.model.now)
-            if crashes.is_urgent(standing.weight, self.model.now):
+            crash_registry = request.instance.crash_registry
+            summary = crash_registry.record_crash(request.fingerprint, incarnation, self.model.now)
+            if crash_registry.should_broadcast_now(summary.weight, self.model.now):
                 self.model.schedule_urgent_round(request.instance)
-            if standing.is_quarantined:
+            if summary.is_quarantined:
                 self.model.after(
-                    STORE_LATENCY_S, partial(self._store.write, crashes, request.fingerprint)
+                    STORE_LATENCY_S, partial(self._store.write, crash_registry, request.fingerprint)
                 )
             elif not request.instance.members.up(self.model.now):
-                self.model.after(STORE_LATENCY_S, partial(self._store.read, crashes))
+                self.model.after(STORE_LATENCY_S, partial(self._store.read, crash_registry))
 
     def _retry(self, request: _Request) -> None:
         may_retry = self._scenario.retries_suspects or not request.is_suspect
-        standing = request.instance.crashes.standing(request.fingerprint, self.model.now)
-        may_retry = may_retry and request.idempotent and not standing.is_quarantined
+        summary = request.instance.crash_registry.summary_for(request.fingerprint, self.model.now)
+        may_retry = may_retry and request.idempotent and not summary.is_quarantined
         if may_retry and request.attempts < MAX_ATTEMPTS:
             self._send(request)
         else:
@@ -315,7 +315,7 @@
         if endpoint.start_count != start or request not in endpoint.running:
             return
         endpoint.running.remove(request)
-        if request.instance.crashes.note_answered(request.fingerprint, self.model.now):
+        if request.instance.crash_registry.record_answer(request.fingerprint, self.model.now):
             self.model.schedule_urgent_round(request.instance)
         self._finish(request, 'answered')
 
--- a/packages/standins/src/plantainloft_standins/demo.py
+++ b/packages/standins/src/plantainloft_standins/demo.py
@@ -9,7 +9,7 @@
 import httpx
 from hdrh.histogram import HdrHistogram
 
-from plantainloft_ctl.burn import burn_rows, format_burn
+from plantainloft_ctl.burn import compute_burn_rates, format_burn
 from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import DEPLOYMENTS, Deployment
 from plantainloft_standins.traffic import Reply, send_requests
@@ -107,6 +107,6 @@
         *_headroom_lines(statuses),
         '',
         'service-level burn (objective: 99.9 % served):',
-        format_burn(burn_rows(statuses)),
+        format_burn(compute_burn_rates(statuses)),
     ]
     return '\n'.join(lines)
--- a/packages/standins/src/plantainloft_standins/fleet_model.py
+++ b/packages/standins/src/plantainloft_standins/fleet_model.py
@@ -18,7 +18,7 @@
 from plantainloft_node.fleet.relaying import Message, Relaying
 from plantainloft_node.limits.limiter import DEFAULT_LIMIT_SETTINGS, LimitSettings, RequestLimiter
 from plantainloft_node.limits.shares import DemandProportionalShares, ShareRule
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 
 __all__ = ['FleetModel', 'FleetShape', 'ModelInstance', 'Traffic']
 
@@ -80,8 +80,8 @@
         self.members = MemberBook(me=me)
         self.limiter = limiter
         self._clock = clock
-        self.crashes = CrashBook()
-        self.intake = Intake(members=self.members, crashes=self.crashes)
+        self.crash_registry = CrashRegistry()
+        self.intake = Intake(members=self.members, crash_registry=self.crash_registry)
         self.leaving = False
         self.rate_by_service: dict[str, float] = {'desk': 1.0}
         self.traffic = Traffic()
@@ -95,7 +95,7 @@
             state=self._beat,
             seeds=seeds,
             chance=random.Random(seed),
-            crashes=self.crashes,
+            crash_registry=self.crash_registry,
         )
 
     def _beat(self) -> Beat:
--- a/packages/standins/src/plantainloft_standins/leaving_model.py
+++ b/packages/standins/src/plantainloft_standins/leaving_model.py
@@ -14,18 +14,18 @@
 from anyio.abc import TaskGroup
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.entry.fleet_parts import NEWS_PAUSE_S
-from plantainloft_node.entry.observing import Observation
+from plantainloft_node.entry.fleet_parts import ROW_CHANGE_DEBOUNCE_S
+from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.peer_calls import PeerCalls
-from plantainloft_node.entry.polling import StoreDuty
-from plantainloft_node.entry.sharing import MEMBERS_CALL, NEWS_CALL, SMALL_NEWS_CALL, NewsSharing
+from plantainloft_node.entry.polling import PollingPolicy
+from plantainloft_node.entry.sharing import MEMBERS_CALL, ROWS_CALL, SMALL_ROWS_CALL, RowReplication
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
 from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
 from plantainloft_node.fleet.beats import BEAT_S
 from plantainloft_node.fleet.intake import Intake
 from plantainloft_node.fleet.members import Beat, FleetMember, MemberBook
 from plantainloft_node.fleet.relaying import Message, Relaying
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS
 from plantainloft_node.streams.listener import FrameHandler
 from plantainloft_standins.store_model import ModelStore, Outage, StoreClient
@@ -156,35 +156,39 @@
             clock=anyio.current_time,
             byte_s=network.byte_s,
         )
-        duty = StoreDuty(members=self.members)
-        self.observation = Observation(
+        polling_policy = PollingPolicy(members=self.members)
+        self.replicated_state = ReplicatedState(
             store=self.store_client,
             region_by_zone={'a': STORE_REGION},
-            wait_s=lambda: duty.wait_s(anyio.current_time()),
-            rests=lambda: duty.rests(anyio.current_time()),
+            long_poll_wait_s=lambda: polling_policy.long_poll_wait_s(anyio.current_time()),
+            delegates_polling=lambda: polling_policy.delegates_polling(anyio.current_time()),
         )
         calls = _ModelCalls(me=me, network=network)
-        self.sharing = NewsSharing(
-            calls=calls, members=self.members, observation=self.observation, tasks=tasks
+        self.row_replication = RowReplication(
+            calls=calls, members=self.members, replicated_state=self.replicated_state, tasks=tasks
         )
-        self.probes = StoreProbes(calls=calls, members=self.members, observation=self.observation)
-        crashes = CrashBook()
-        self._intake = Intake(members=self.members, crashes=crashes)
+        self.probes = StoreProbes(
+            calls=calls, members=self.members, replicated_state=self.replicated_state
+        )
+        crash_registry = CrashRegistry()
+        self._intake = Intake(members=self.members, crash_registry=crash_registry)
         self.relaying = Relaying(
             members=self.members,
             intake=self._intake,
             state=self.beat,
             seeds=(),
             chance=random.Random(me.name),
-            crashes=crashes,
+            crash_registry=crash_registry,
+        )
+        network.handler_by_call[(me.name, ROWS_CALL)] = self.row_replication.answer_rows_call
+        network.handler_by_call[(me.name, SMALL_ROWS_CALL)] = (
+            self.row_replication.answer_small_rows_call
         )
-        network.handler_by_call[(me.name, NEWS_CALL)] = self.sharing.tell
-        network.handler_by_call[(me.name, SMALL_NEWS_CALL)] = self.sharing.tell_small
-        network.handler_by_call[(me.name, MEMBERS_CALL)] = self.sharing.tell_members
-        network.handler_by_call[(me.name, PROBE_CALL)] = self.probes.tell
+        network.handler_by_call[(me.name, MEMBERS_CALL)] = self.row_replication.answer_members_call
+        network.handler_by_call[(me.name, PROBE_CALL)] = self.probes.answer_probe_call
 
     def start(self, tasks: TaskGroup) -> None:
-        for follower in self.observation.followers.values():
+        for follower in self.replicated_state.followers.values():
             tasks.start_soon(follower.run)
         tasks.start_soon(self.probes.run)
 
@@ -193,16 +197,16 @@
             member=self.members.me,
             ready=True,
             leaving=False,
-            newest_by_table=dict(self.observation.rows.newest_by_table),
+            newest_by_table=dict(self.replicated_state.rows.newest_by_table),
             rate_by_service={},
-            follows=self.observation.follows(),
-            store_served_s=self.observation.store_served_s(anyio.current_time()),
+            follows=self.replicated_state.polls_successfully(),
+            store_served_s=self.replicated_state.store_available_for_s(anyio.current_time()),
         )
 
     def receive(self, packed: bytes, host: str) -> None:
         taken = self._intake.take(packed, host, anyio.current_time())
         for hint in taken.hints if taken else ():
-            self.sharing.on_hint(hint)
+            self.row_replication.on_update_hint(hint)
 
 
 class _Simulation:
@@ -250,7 +254,7 @@
         return [
             name
             for name, one in self._instance_by_name.items()
-            if one.observation.rows.newest_by_table.get(DECLARATIONS, 0) < newest
+            if one.replicated_state.rows.newest_by_table.get(DECLARATIONS, 0) < newest
         ]
 
     def _build(self, tasks: TaskGroup) -> None:
@@ -276,9 +280,9 @@
 
     async def _send_hints(self, sender: _Instance, tasks: TaskGroup) -> None:
         while True:
-            await sender.observation.rows.change()
+            await sender.replicated_state.rows.change()
             self._send_messages(sender.relaying.to_readers(anyio.current_time()), sender, tasks)
-            await anyio.sleep(NEWS_PAUSE_S)
+            await anyio.sleep(ROW_CHANGE_DEBOUNCE_S)
 
     def _send_messages(self, messages: list[Message], sender: _Instance, tasks: TaskGroup) -> None:
         for message in messages:
@@ -323,11 +327,11 @@
             await anyio.sleep(UPDATE_INTERVAL_S)
             now = anyio.current_time()
             for instance in self._instance_by_name.values():
-                instance.observation.beliefs.tick(now)
+                instance.replicated_state.routing_state.tick(now)
                 self._record_use(instance, now)
 
     def _record_use(self, instance: _Instance, now: float) -> None:
-        used = instance.observation.endpoint_registry.by_id
+        used = instance.replicated_state.endpoint_registry.by_id
         name = instance.members.me.name
         for number in range(ENDPOINT_COUNT):
             endpoint_id = f'i{number}'
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,16 +6,16 @@
 import httpx
 import hypothesis
 import pytest
-from entry_fixtures import RawEndpoint
+from entry_fixtures import ScriptedEndpoint
 from platform_standin import (
     ENDPOINT_TABLE,
-    OPERATOR,
+    OPERATOR_TABLE,
     EntryDeployment,
     EntryProcessHandle,
-    StoreDoor,
-    answer_all,
-    config,
-    endpoint_row,
+    StoreProxy,
+    answer_every_request,
+    endpoint_document,
+    make_configuration,
     running_store,
 )
 
@@ -42,11 +42,11 @@
 
 
 @pytest.fixture
-async def client(table: TableService) -> AsyncIterator[TableClient]:
+async def table_client(table: TableService) -> AsyncIterator[TableClient]:
     transport = httpx.ASGITransport(app=make_app(table))
-    table_client = TableClient(base_url='http://table', timeout_s=1.0, transport=transport)
-    yield table_client
-    await table_client.close()
+    client = TableClient(base_url='http://table', timeout_s=1.0, transport=transport)
+    yield client
+    await client.close()
 
 
 @pytest.fixture(scope='module')
@@ -67,7 +67,7 @@
 
 
 @pytest.fixture
-def tiny(tmp_path: Path) -> Iterator[Cluster]:
+def tiny_deployment(tmp_path: Path) -> Iterator[Cluster]:
     """Run two regions with four entry instances and four endpoints.
 
     Each endpoint takes 200 ms for a request.
@@ -78,7 +78,7 @@
 
 
 @pytest.fixture
-def handles(tmp_path: Path) -> Iterator[list[EntryProcessHandle]]:
+def entry_processes(tmp_path: Path) -> Iterator[list[EntryProcessHandle]]:
     """Yield a list of entry processes; those added to it are killed after the test."""
     processes: list[EntryProcessHandle] = []
     yield processes
@@ -87,8 +87,8 @@
 
 
 @pytest.fixture
-async def deployment(
-    handles: list[EntryProcessHandle], tmp_path: Path
+async def entry_deployment(
+    entry_processes: list[EntryProcessHandle], tmp_path: Path
 ) -> AsyncIterator[EntryDeployment]:
     """Run two entry processes and two endpoints on one store.
 
@@ -96,27 +96,33 @@
     endpoints belong to the services ``desk`` and ``other``.
     """
     async with running_store() as (store, tasks):
-        endpoints = [RawEndpoint(script=answer_all), RawEndpoint(script=answer_all)]
+        endpoints = [
+            ScriptedEndpoint(script=answer_every_request),
+            ScriptedEndpoint(script=answer_every_request),
+        ]
         for endpoint, service in zip(endpoints, ('desk', 'other'), strict=True):
             await tasks.start(
                 lambda *, task_status, current=endpoint: current.run(task_status=task_status)
             )
             store.put(
-                ENDPOINT_TABLE, f'i-{service}', endpoint_row(endpoint.address, service=service)
+                ENDPOINT_TABLE, f'i-{service}', endpoint_document(endpoint.address, service=service)
             )
-        store.put(OPERATOR, 'config', config(3))
-        proxies = [StoreDoor(store=store) for _ in range(2)]
+        store.put(OPERATOR_TABLE, 'config', make_configuration(3))
+        proxies = [StoreProxy(store=store) for _ in range(2)]
         for number, proxy in enumerate(proxies, start=1):
             await tasks.start(
                 lambda *, task_status, current=proxy: current.serve(task_status=task_status)
             )
-            handles.append(
+            entry_processes.append(
                 EntryProcessHandle(
-                    number=number, store=proxy.address, work_dir=tmp_path, seeds='127.0.9.1:7801'
+                    number=number,
+                    store_address=proxy.address,
+                    work_dir=tmp_path,
+                    seeds='127.0.9.1:7801',
                 )
             )
-        for handle in handles:
+        for handle in entry_processes:
             handle.start()
-        for handle in handles:
-            await handle.until_ready()
-        yield EntryDeployment(store, proxies, endpoints, handles)
+        for handle in entry_processes:
+            await handle.wait_until_ready()
+        yield EntryDeployment(store, proxies, endpoints, entry_processes)
--- a/tests/crashing_endpoints.py
+++ b/tests/crashing_endpoints.py
@@ -6,7 +6,7 @@
 
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
-from entry_fixtures import Conversation
+from entry_fixtures import ScriptedConnection
 
 FATAL_SUFFIX = b'/fatal'
 RUN_TIME_S = 0.1
@@ -71,16 +71,16 @@
             await anyio.sleep(RESTART_DELAY_S)
 
     async def _serve_connection(self, stream: SocketStream) -> None:
-        connection = Conversation(stream=stream, endpoint=self)  # type: ignore[arg-type]
+        connection = ScriptedConnection(stream=stream, endpoint=self)  # type: ignore[arg-type]
         try:
             while True:
-                await self._handle(await connection.request(), connection)
+                await self._handle(await connection.read_request(), connection)
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             return
         finally:
             await anyio.aclose_forcefully(stream)
 
-    async def _handle(self, request: bytes, connection: Conversation) -> None:
+    async def _handle(self, request: bytes, connection: ScriptedConnection) -> None:
         is_fatal = request.split(b' ', 2)[1].endswith(FATAL_SUFFIX)
         self._trace.arrivals.append(Arrival(time.monotonic(), self.name, is_fatal))
         await anyio.sleep(RUN_TIME_S)
@@ -88,4 +88,4 @@
             self._trace.crashes.append(time.monotonic())
             self._run_scope.cancel()
             await anyio.sleep_forever()
-        await connection.say(self._answer)
+        await connection.send(self._answer)
--- a/tests/entry_fixtures.py
+++ b/tests/entry_fixtures.py
@@ -30,18 +30,18 @@
 from plantainloft_node.limits.limiter import LimitSettings, RequestLimiter
 from plantainloft_node.placing.endpoints import EndpointRegistry
 from plantainloft_node.placing.placement import Placement, PlacementSettings
-from plantainloft_node.quarantine.crash_book import CrashBook
-from plantainloft_node.quarantine.crash_checks import CrashChecks
+from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crash_checks import CrashDetector
 from plantainloft_node.quarantine.quarantine import Quarantine
 from plantainloft_standins.quarantine_store import MemoryQuarantineStore
 
 HEADER_NAMES = HeaderNames(signature=b'x-signature')
 LIMIT_SETTINGS = LimitSettings(window_s=5.0, overshoot_ratio=0.0, overshoot_requests=0.0)
-Script = Callable[['Conversation'], Awaitable[None]]
+ConnectionScript = Callable[['ScriptedConnection'], Awaitable[None]]
 SERVICE = 'case-desk'
 
 
-def route(*, idempotent: bool, prefix: str, **overrides: object) -> Route:
+def make_route(*, idempotent: bool, prefix: str, **overrides: object) -> Route:
     """Return a route of the test host; ``overrides`` replace its default settings."""
     defaults: dict[str, object] = {
         'name': prefix,
@@ -59,7 +59,7 @@
     return Route(**{**defaults, **overrides})  # type: ignore[arg-type]
 
 
-def table_of(
+def make_route_table(
     *routes: Route,
     version: int = 1,
     limits: CallerLimits | None = None,
@@ -82,15 +82,15 @@
     )
 
 
-class Conversation:
+class ScriptedConnection:
     """A connection to a scripted endpoint, as its script reads and writes it."""
 
-    def __init__(self, *, stream: SocketStream, endpoint: 'RawEndpoint') -> None:
+    def __init__(self, *, stream: SocketStream, endpoint: 'ScriptedEndpoint') -> None:
         self.stream = stream
         self.endpoint = endpoint
         self._buffer = b''
 
-    async def request(self) -> bytes:
+    async def read_request(self) -> bytes:
         """Read one request: its head, and a body of the length in Content-Length.
 
         Chunked bodies are not supported. The request is also appended to
@@ -107,38 +107,41 @@
         self.endpoint.requests.append(head + b'\r\n\r\n' + rest[:size])
         return self.endpoint.requests[-1]
 
-    async def say(self, raw: bytes) -> None:
+    async def send(self, raw: bytes) -> None:
         """Send ``raw`` as it is."""
         await self.stream.send(raw)
 
 
-def whole(body: bytes, *, request_id: bytes = b'', more: bytes = b'') -> bytes:
+def signed_ok_response(
+    body: bytes, *, request_id: bytes = b'', extra_headers: bytes = b''
+) -> bytes:
     """Return a complete signed response with status 200 and ``body``.
 
-    ``more`` holds further header lines, each with its line ending.
+    ``extra_headers`` holds further header lines, each with its line ending.
     """
     request_id_header = b'X-Request-Id: ' + request_id + b'\r\n' if request_id else b''
     return (
         b'HTTP/1.1 200 OK\r\nX-Signature: s\r\n'
         + request_id_header
-        + more
+        + extra_headers
         + b'Content-Length: %d\r\n\r\n' % len(body)
         + body
     )
 
 
-class RawEndpoint:
+class ScriptedEndpoint:
     """A listener that runs ``script`` on each of its connections.
 
-    ``connections`` counts the connections accepted so far, ``ended`` those that
-    ended while their script was still reading or writing.
+    ``accepted_connections`` counts the connections accepted so far,
+    ``closed_connections`` those that ended while their script was still reading or
+    writing.
     """
 
-    def __init__(self, *, script: Script) -> None:
+    def __init__(self, *, script: ConnectionScript) -> None:
         self.script = script
         self.requests: list[bytes] = []
-        self.connections = 0
-        self.ended = 0
+        self.accepted_connections = 0
+        self.closed_connections = 0
         self.address = ''
         self._scope = anyio.CancelScope()
 
@@ -157,15 +160,15 @@
         await listener.aclose()
 
     async def _run_script(self, stream: SocketStream) -> None:
-        self.connections += 1
+        self.accepted_connections += 1
         try:
             async with stream:
-                await self.script(Conversation(stream=stream, endpoint=self))
+                await self.script(ScriptedConnection(stream=stream, endpoint=self))
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            self.ended += 1
+            self.closed_connections += 1
 
 
-class Entry(NamedTuple):
+class ForwardingServer(NamedTuple):
     """A handler that listens on loopback, and the state that it works with.
 
     ``connections`` holds every caller connection accepted so far.
@@ -176,13 +179,13 @@
     forwarding_handler: ForwardingHandler
     connections: list[CallerConnection]
     pool: ConnectionPool
-    crashes: CrashBook
+    crash_registry: CrashRegistry
 
     async def connect(self) -> SocketStream:
         host, _, port = self.address.partition(':')
         return await anyio.connect_tcp(host, int(port))
 
-    async def ask(self, raw: bytes, *, within_s: float = 5.0) -> bytes:
+    async def send_request(self, raw: bytes, *, timeout_s: float = 5.0) -> bytes:
         """Send ``raw`` on a new connection and return the response.
 
         Returns what has arrived if the connection ends before the response is
@@ -191,7 +194,7 @@
         answer = b''
         async with await self.connect() as stream:
             await stream.send(raw)
-            with anyio.fail_after(within_s):
+            with anyio.fail_after(timeout_s):
                 while not _is_complete(answer):
                     try:
                         answer += await stream.receive()
@@ -206,19 +209,21 @@
     return bool(separator and content_length and len(body) >= int(content_length.group(1)))
 
 
-def get(path: bytes = b'/files/1', *, more: bytes = b'', request_id: bytes = b'r1') -> bytes:
+def get_request(
+    path: bytes = b'/files/1', *, extra_headers: bytes = b'', request_id: bytes = b'r1'
+) -> bytes:
     return (
         b'GET '
         + path
         + b' HTTP/1.1\r\nHost: desk.example\r\nX-Request-Id: '
         + request_id
         + b'\r\n'
-        + more
+        + extra_headers
         + b'\r\n'
     )
 
 
-def post(body: bytes, *, path: bytes = b'/notices/1', request_id: bytes = b'r1') -> bytes:
+def post_request(body: bytes, *, path: bytes = b'/notices/1', request_id: bytes = b'r1') -> bytes:
     return (
         b'POST '
         + path
@@ -230,12 +235,12 @@
 
 
 @asynccontextmanager
-async def running_entry(
-    *scripts: Script,
+async def running_forwarding_server(
+    *scripts: ConnectionScript,
     table: RouteTable | None = None,
     tables: list[RouteTable] | None = None,
     limiter: RequestLimiter | None = None,
-) -> AsyncIterator[tuple[Entry, list[RawEndpoint]]]:
+) -> AsyncIterator[tuple[ForwardingServer, list[ScriptedEndpoint]]]:
     """Run a handler that forwards to one scripted endpoint for each script.
 
     The endpoints are ``i0``, ``i1`` and so on, in the order of ``scripts``.
@@ -243,8 +248,9 @@
     ``tables`` is in force: appending to the list replaces the route table of
     the running handler.
     """
-    default_table = table or table_of(
-        route(idempotent=True, prefix='/files/'), route(idempotent=False, prefix='/notices/')
+    default_table = table or make_route_table(
+        make_route(idempotent=True, prefix='/files/'),
+        make_route(idempotent=False, prefix='/notices/'),
     )
     table_versions = tables or [default_table]
     endpoint_registry = EndpointRegistry(region_by_zone={'a': 'ankara'})
@@ -252,12 +258,12 @@
     placement = Placement(settings=settings, endpoint_registry=endpoint_registry)
     pool = ConnectionPool()
     quarantine = Quarantine(
-        book=CrashBook(),
+        crash_registry=CrashRegistry(),
         store=MemoryQuarantineStore(),
-        is_alone=lambda: False,
-        spread=lambda: None,
+        has_no_live_peers=lambda: False,
+        broadcast=lambda: None,
     )
-    crash_checks = CrashChecks(on_crash=quarantine.note_crash)
+    crash_detector = CrashDetector(on_crash=quarantine.record_crash)
     forwarding_handler = ForwardingHandler(
         names=HEADER_NAMES,
         dispatcher=Dispatcher(
@@ -265,14 +271,14 @@
             placement=placement,
             sender=Sender(names=HEADER_NAMES, pool=pool),
             retry_limits=RetryLimits(ratio=0.2, fixed_retries=64.0, window_s=10.0),
-            crash_checks=crash_checks,
+            crash_detector=crash_detector,
             quarantine=quarantine,
         ),
         limiter=limiter or RequestLimiter(instance='e1', settings=LIMIT_SETTINGS),
         route_table=lambda: table_versions[-1],
         record_outcome=lambda name, outcome, seconds: None,
     )
-    endpoints = [RawEndpoint(script=script) for script in scripts]
+    endpoints = [ScriptedEndpoint(script=script) for script in scripts]
     connections: list[CallerConnection] = []
 
     async def serve_caller(stream: SocketStream) -> None:
@@ -293,16 +299,16 @@
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1', local_port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         tasks.start_soon(listener.serve, serve_caller)
-        tasks.start_soon(crash_checks.run)
+        tasks.start_soon(crash_detector.run)
         tasks.start_soon(quarantine.run)
         yield (
-            Entry(
+            ForwardingServer(
                 f'127.0.0.1:{port}',
                 endpoint_registry,
                 forwarding_handler,
                 connections,
                 pool,
-                quarantine.book,
+                quarantine.crash_registry,
             ),
             endpoints,
         )
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -15,33 +15,36 @@
 
 import anyio
 from anyio.abc import SocketAttribute, SocketStream, TaskGroup
-from entry_fixtures import Conversation, RawEndpoint
+from entry_fixtures import ScriptedConnection, ScriptedEndpoint
 
 from plantainloft_core.routes import CallerLimits
 from plantainloft_node.engine.callers import CallerConnection
 from plantainloft_node.engine.exchange import Exchange, ExchangeHandler
 
 JSON_TYPE = [(b'content-type', b'application/json')]
-OPERATOR = 'op'
+OPERATOR_TABLE = 'op'
 ENDPOINT_TABLE = 'servers'
-SIGNED = b'HTTP/1.1 200 OK\r\nX-Plantainloft-Response-Signature: s\r\nContent-Length: 2\r\n\r\nok'
+SIGNED_OK_RESPONSE = (
+    b'HTTP/1.1 200 OK\r\nX-Plantainloft-Response-Signature: s\r\nContent-Length: 2\r\n\r\nok'
+)
 
 
 class StoreStandin(ExchangeHandler):
     """Keeps rows in memory and serves them as the platform's documentation describes.
 
-    A test injects faults by setting attributes: while ``refusing`` is set,
-    every request is answered with 503; while ``silent`` is set, no request is
-    answered; ``forgotten`` is the version before which no history is kept, so
-    that asking for the changes after an earlier version is answered with 410.
+    A test injects faults by setting attributes: while ``is_unavailable`` is set,
+    every request is answered with 503; while ``is_unresponsive`` is set, no
+    request is answered; ``oldest_history_version`` is the version before which no
+    history is kept, so that asking for the changes after an earlier version is
+    answered with 410.
     """
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], dict[str, Any]] = {}
         self.version = 0
-        self.refusing = False
-        self.silent = False
-        self.forgotten = 0
+        self.is_unavailable = False
+        self.is_unresponsive = False
+        self.oldest_history_version = 0
         self.operations: list[str] = []
         self.address = ''
         self._changed = anyio.Event()
@@ -73,9 +76,9 @@
     async def handle(self, exchange: Exchange) -> None:
         operation = exchange.path.rpartition('/')[2]
         self.operations.append(operation)
-        if self.silent:
+        if self.is_unresponsive:
             await anyio.sleep_forever()
-        if self.refusing:
+        if self.is_unavailable:
             await exchange.respond(503, [])
             return
         parameters = {name: values[0] for name, values in parse_qs(exchange.query).items()}
@@ -112,7 +115,7 @@
 
     async def _feed(self, exchange: Exchange, parameters: dict[str, str]) -> None:
         after = int(parameters['after'])
-        if after < self.forgotten:
+        if after < self.oldest_history_version:
             await exchange.respond(410, [])
             return
         with anyio.move_on_after(int(parameters['wait_ms']) / 1000):
@@ -144,7 +147,7 @@
         self._changed = anyio.Event()
 
 
-class StoreDoor(ExchangeHandler):
+class StoreProxy(ExchangeHandler):
     """A proxy through which one entry instance reaches the store.
 
     It can refuse requests while other instances still reach the store.
@@ -153,7 +156,7 @@
     def __init__(self, *, store: StoreStandin) -> None:
         self._store = store
         self._open_requests: set[anyio.CancelScope] = set()
-        self.refusing = False
+        self.is_unavailable = False
         self.address = ''
 
     def limits(self) -> CallerLimits:
@@ -166,7 +169,7 @@
         await _listen_and_serve(self, task_status)
 
     async def handle(self, exchange: Exchange) -> None:
-        if self.refusing:
+        if self.is_unavailable:
             await exchange.respond(503, [])
             return
         with anyio.CancelScope() as scope:
@@ -176,15 +179,15 @@
         if scope.cancelled_caught:
             await exchange.respond(503, [])
 
-    def refuse(self) -> None:
+    def start_refusing(self) -> None:
         """Answer 503 from now on, also to open requests such as long polls."""
-        self.refusing = True
+        self.is_unavailable = True
         for scope in self._open_requests:
             scope.cancel()
 
 
 async def _listen_and_serve(
-    handler: StoreStandin | StoreDoor, task_status: anyio.abc.TaskStatus[None]
+    handler: StoreStandin | StoreProxy, task_status: anyio.abc.TaskStatus[None]
 ) -> None:
     listener = await anyio.create_tcp_listener(local_host='127.0.0.1', local_port=0)
     handler.address = f'127.0.0.1:{listener.extra(SocketAttribute.local_port)}'
@@ -196,7 +199,9 @@
     await listener.serve(serve_connection)
 
 
-def config(version: int, *, service: str = 'desk', timeout: str = '1500ms') -> dict[str, Any]:
+def make_configuration(
+    version: int, *, service: str = 'desk', timeout: str = '1500ms'
+) -> dict[str, Any]:
     """Return a configuration with an idempotent and a non-idempotent route to ``service``."""
 
     def route_resource(name: str, kind: str) -> dict[str, Any]:
@@ -249,7 +254,7 @@
     }
 
 
-def endpoint_row(
+def endpoint_document(
     address: str,
     *,
     state: str = 'ready',
@@ -265,7 +270,7 @@
     }
 
 
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 [instance]
 name = {name}
 zone = ank-a
@@ -296,16 +301,16 @@
 class EntryProcessHandle:
     """An entry process that runs as a subprocess, its addresses and its log."""
 
-    def __init__(self, *, number: int, store: str, work_dir: Path, seeds: str = '') -> None:
+    def __init__(self, *, number: int, store_address: str, work_dir: Path, seeds: str = '') -> None:
         self.host = f'127.0.9.{number}'
         ports = _free_ports(self.host)
-        self.front, self.ready, self.directory, self.metrics = (
+        self.caller_address, self.readiness_address, self.lookup_address, self.metrics_address = (
             f'{self.host}:{port}' for port in ports
         )
-        self.settings = work_dir / f'entry-{number}.ini'
-        self.settings.write_text(
-            SETTINGS.format(
-                name=f'e{number}', host=self.host, ports=ports, store=store, seeds=seeds
+        self.settings_path = work_dir / f'entry-{number}.ini'
+        self.settings_path.write_text(
+            SETTINGS_TEMPLATE.format(
+                name=f'e{number}', host=self.host, ports=ports, store=store_address, seeds=seeds
             )
         )
         self.log_path = work_dir / f'entry-{number}.log'
@@ -315,7 +320,7 @@
     def start(self) -> None:
         self._process = subprocess.Popen(
             [sys.executable, '-m', 'plantainloft_platform'],
-            env={**os.environ, 'PLANTAINLOFT_CONFIG': str(self.settings)},
+            env={**os.environ, 'PLANTAINLOFT_CONFIG': str(self.settings_path)},
             stdout=self._log_file,
             stderr=subprocess.STDOUT,
         )
@@ -324,14 +329,14 @@
         assert self._process is not None
         self._process.send_signal(number)
 
-    def blocks(self, number: int) -> bool:
+    def blocks_signal(self, number: int) -> bool:
         """Return whether the process blocks this signal at present."""
         assert self._process is not None
         status = Path(f'/proc/{self._process.pid}/status').read_text()
         blocked = next(line for line in status.splitlines() if line.startswith('SigBlk:'))
         return bool(int(blocked.split()[1], 16) & (1 << (number - 1)))
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         """Wait for the process to exit and return its exit code."""
         assert self._process is not None
         return await anyio.to_thread.run_sync(self._process.wait, abandon_on_cancel=True)
@@ -342,16 +347,16 @@
             self._process.wait()
         self._log_file.close()
 
-    def lines(self) -> list[dict[str, Any]]:
+    def log_records(self) -> list[dict[str, Any]]:
         """Return the log records written so far."""
         return [json.loads(line) for line in self.log_path.read_text().splitlines()]
 
-    async def until_ready(self) -> None:
-        await until(lambda: self.status_of(self.ready, '/v1/ready'), 200)
+    async def wait_until_ready(self) -> None:
+        await wait_until_equal(lambda: self.get_status(self.readiness_address, '/v1/ready'), 200)
 
-    async def status_of(self, address: str, path: str) -> int:
+    async def get_status(self, address: str, path: str) -> int:
         """GET ``path`` and return the status, or 0 without an answer."""
-        answer = await call(address, path)
+        answer = await http_get(address, path)
         return int(answer.split(b' ', 2)[1]) if answer else 0
 
 
@@ -366,10 +371,12 @@
     return ports
 
 
-async def call(address: str, path: str, *, host: str = 'desk.example', more: str = '') -> bytes:
+async def http_get(
+    address: str, path: str, *, host: str = 'desk.example', extra_headers: str = ''
+) -> bytes:
     """GET ``path`` and return the raw bytes received, which may be none or a part.
 
-    ``host`` is the Host header; ``more`` holds further header lines, each with
+    ``host`` is the Host header; ``extra_headers`` holds further header lines, each with
     its line ending.
     """
     ip_address, _, port = address.partition(':')
@@ -377,7 +384,10 @@
     try:
         with anyio.move_on_after(5):
             async with await anyio.connect_tcp(ip_address, int(port)) as stream:
-                head = f'GET {path} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n{more}\r\n'
+                head = (
+                    f'GET {path} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n'
+                    f'{extra_headers}\r\n'
+                )
                 await stream.send(head.encode())
                 while True:
                     received += await stream.receive()
@@ -386,9 +396,9 @@
     return received
 
 
-async def until(probe: Any, wanted: Any, *, within_s: float = 20.0) -> None:
+async def wait_until_equal(probe: Any, wanted: Any, *, timeout_s: float = 20.0) -> None:
     """Wait until ``await probe()`` returns ``wanted``."""
-    with anyio.fail_after(within_s):
+    with anyio.fail_after(timeout_s):
         while await probe() != wanted:
             await anyio.sleep(0.05)
 
@@ -406,39 +416,43 @@
 class EntryDeployment(NamedTuple):
     """A store, two endpoints and the entry processes that forward to them.
 
-    ``doors`` are the proxies through which the entry processes reach the store,
-    in the order of ``entries``.
+    ``store_proxies`` are the proxies through which the entry processes reach the store,
+    in the order of ``entry_processes``.
     """
 
     store: StoreStandin
-    doors: list[StoreDoor]
-    endpoints: list[RawEndpoint]
-    entries: list[EntryProcessHandle]
+    store_proxies: list[StoreProxy]
+    endpoints: list[ScriptedEndpoint]
+    entry_processes: list[EntryProcessHandle]
 
 
-async def answer_all(talk: Conversation) -> None:
-    """Answer every request with ``SIGNED``."""
+async def answer_every_request(connection: ScriptedConnection) -> None:
+    """Answer every request with ``SIGNED_OK_RESPONSE``."""
     while True:
-        await talk.request()
-        await talk.say(SIGNED)
+        await connection.read_request()
+        await connection.send(SIGNED_OK_RESPONSE)
 
 
-async def served_by(deployment: EntryDeployment, entry: EntryProcessHandle) -> tuple[int, ...]:
+async def requests_per_endpoint(
+    entry_deployment: EntryDeployment, entry: EntryProcessHandle
+) -> tuple[int, ...]:
     """Send one request to ``entry`` and return how many requests each endpoint received."""
-    counts_before = [len(endpoint.requests) for endpoint in deployment.endpoints]
-    await call(entry.front, '/files/1', more='X-Plantainloft-Request-Id: r\r\n')
-    counts_after = [len(endpoint.requests) for endpoint in deployment.endpoints]
+    counts_before = [len(endpoint.requests) for endpoint in entry_deployment.endpoints]
+    await http_get(
+        entry.caller_address, '/files/1', extra_headers='X-Plantainloft-Request-Id: r\r\n'
+    )
+    counts_after = [len(endpoint.requests) for endpoint in entry_deployment.endpoints]
     return tuple(new - old for old, new in zip(counts_before, counts_after, strict=True))
 
 
-async def named(entry: EntryProcessHandle) -> int:
+async def count_resolved_addresses(entry: EntryProcessHandle) -> int:
     """Return how many addresses the directory of ``entry`` returns."""
-    answer = await call(entry.directory, '/v1/resolve?name=x&region=ankara&zone=ank-a')
+    answer = await http_get(entry.lookup_address, '/v1/resolve?name=x&region=ankara&zone=ank-a')
     body = answer.partition(b'\r\n\r\n')[2]
     return len(json.loads(body)['addresses']) if body else 0
 
 
-async def followed(entry: EntryProcessHandle) -> bool:
+async def follows_declarations(entry: EntryProcessHandle) -> bool:
     """Return whether ``entry`` reports that it follows the store's declarations."""
-    metrics = await call(entry.metrics, '/metrics')
+    metrics = await http_get(entry.metrics_address, '/metrics')
     return b'plantainloft_store_followed{table="declarations"} 1' in metrics
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from plantainloft_ctl.burn import burn_rows, format_burn
+from plantainloft_ctl.burn import compute_burn_rates, format_burn
 from plantainloft_ctl.plot import plot_burn
 
 PNG_MAGIC = b'\x89PNG'
@@ -23,7 +23,7 @@
 
     A service that answered every request too late then showed burn rate 0.
     """
-    (row,) = burn_rows([_status(1000, 0, late=3)])
+    (row,) = compute_burn_rates([_status(1000, 0, late=3)])
     assert (row.bad, round(row.burn_rate, 2)) == (3, 3.0)
 
 
@@ -33,7 +33,7 @@
     With 78 of 300 requests bad, an operator could not tell whether they were
     refused or only late.
     """
-    rows = burn_rows([_status(95, 5, late=7)])
+    rows = compute_burn_rates([_status(95, 5, late=7)])
     assert [(row.bad, row.late) for row in rows] == [(12, 7)]
     heading, line = format_burn(rows).splitlines()
     assert heading.split()[2:4] == ['bad', 'late']
@@ -41,7 +41,7 @@
 
 
 def test_burn_aggregates_nodes_and_writes_a_plot(tmp_path: Path) -> None:
-    rows = burn_rows([_status(990, 5), _status(995, 10)])
+    rows = compute_burn_rates([_status(990, 5), _status(995, 10)])
     assert [(row.requests, row.bad) for row in rows] == [(2000, 15)]
     assert round(rows[0].burn_rate, 2) == 7.5
     assert 'booking' in format_burn(rows)
--- a/tests/test_crash_model.py
+++ b/tests/test_crash_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from plantainloft_node.quarantine.crashes import HOLD_S
+from plantainloft_node.quarantine.crashes import INITIAL_TRIAL_DELAY_S
 from plantainloft_standins.crash_draws import random_simulation
 from plantainloft_standins.crash_model import CrashScenario, CrashSimulation, FatalRequest
 from plantainloft_standins.fleet_model import FleetModel, FleetShape
@@ -117,7 +117,7 @@
         SMALL._replace(seed=seed), fatal=(FATAL,), path_count=50, kills_per_s=2.0, duration_s=60.0
     )
     simulation.run()
-    assert simulation.results.longest_shut_out_s() <= HOLD_S
+    assert simulation.results.longest_blocked_s() <= INITIAL_TRIAL_DELAY_S
 
 
 def test_the_others_are_answered_while_a_fatal_request_comes_again_and_again(
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -15,15 +15,15 @@
 from crashing_endpoints import CrashingEndpoint, Trace
 from platform_standin import (
     ENDPOINT_TABLE,
-    OPERATOR,
-    SIGNED,
+    OPERATOR_TABLE,
+    SIGNED_OK_RESPONSE,
     EntryProcessHandle,
     StoreStandin,
-    call,
-    config,
-    endpoint_row,
+    endpoint_document,
+    http_get,
+    make_configuration,
     running_store,
-    until,
+    wait_until_equal,
 )
 
 from plantainloft_ctl.commands.quarantine import Quarantine
@@ -58,61 +58,66 @@
 
     async def send(self, entry: EntryProcessHandle, path: str, request_id: str) -> int:
         header = f'X-Plantainloft-Request-Id: {request_id}\r\n'
-        answer = await call(entry.front, path, more=header)
+        answer = await http_get(entry.caller_address, path, extra_headers=header)
         status = int(answer.split(b' ', 2)[1]) if answer else 0
         self.statuses.append(status)
         return status
 
 
 @asynccontextmanager
-async def crashing_fleet(handles: list[EntryProcessHandle], path: Path) -> AsyncIterator[Fleet]:
+async def crashing_fleet(
+    entry_processes: list[EntryProcessHandle], path: Path
+) -> AsyncIterator[Fleet]:
     trace = Trace()
     async with running_store() as (store, tasks):
         for number in range(ENDPOINTS):
             endpoint = CrashingEndpoint(
                 name=f'i{number}',
                 trace=trace,
-                answer=SIGNED,
-                on_start=partial(replace_endpoint_row, store),
+                answer=SIGNED_OK_RESPONSE,
+                on_start=partial(replace_endpoint_document, store),
             )
             await tasks.start(
                 lambda *, task_status, endpoint=endpoint: endpoint.run(task_status=task_status)
             )
-        store.put(OPERATOR, 'config', config(3))
+        store.put(OPERATOR_TABLE, 'config', make_configuration(3))
         for number in (1, 2):
-            handles.append(
+            entry_processes.append(
                 EntryProcessHandle(
-                    number=number, store=store.address, work_dir=path, seeds='127.0.9.1:7801'
+                    number=number,
+                    store_address=store.address,
+                    work_dir=path,
+                    seeds='127.0.9.1:7801',
                 )
             )
-        for handle in handles:
+        for handle in entry_processes:
             handle.start()
-        for handle in handles:
-            await handle.until_ready()
-        yield Fleet(trace=trace, entries=handles)
+        for handle in entry_processes:
+            await handle.wait_until_ready()
+        yield Fleet(trace=trace, entries=entry_processes)
 
 
-def replace_endpoint_row(store: StoreStandin, endpoint: CrashingEndpoint) -> None:
+def replace_endpoint_document(store: StoreStandin, endpoint: CrashingEndpoint) -> None:
     """Replace the row of the previous incarnation by one of a new incarnation."""
     number = endpoint.name.split('-')[0]
     store.remove(ENDPOINT_TABLE, endpoint.name)
     endpoint.name = f'{number}-{time.monotonic_ns()}'
-    store.put(ENDPOINT_TABLE, endpoint.name, endpoint_row(endpoint.address))
+    store.put(ENDPOINT_TABLE, endpoint.name, endpoint_document(endpoint.address))
 
 
 @pytest.mark.anyio
 async def test_all_instances_stop_sending_a_request_after_three_crashes(
-    handles: list[EntryProcessHandle], tmp_path: Path
+    entry_processes: list[EntryProcessHandle], tmp_path: Path
 ) -> None:
     """Failure: each instance counted only the crashes it saw itself, and forgot them."""
-    async with crashing_fleet(handles, tmp_path) as fleet:
+    async with crashing_fleet(entry_processes, tmp_path) as fleet:
         await fleet.repeat('/files/fatal', seconds=TEST_DURATION_S)
         assert len(fleet.trace.late_fatal_arrivals(PROPAGATION_LIMIT_S)) <= MAX_LATE_ARRIVALS
         assert fleet.statuses[-8:] == [502] * 8
 
 
 async def list_quarantined(entry: EntryProcessHandle) -> list[dict[str, object]]:
-    answer = await call(entry.metrics, '/quarantine')
+    answer = await http_get(entry.metrics_address, '/quarantine')
     return list(json.loads(answer.partition(b'\r\n\r\n')[2] or b'[]'))
 
 
@@ -122,20 +127,20 @@
 
 @pytest.mark.anyio
 async def test_quarantine_survives_the_loss_of_all_instances(
-    handles: list[EntryProcessHandle], tmp_path: Path
+    entry_processes: list[EntryProcessHandle], tmp_path: Path
 ) -> None:
-    async with crashing_fleet(handles, tmp_path) as fleet:
+    async with crashing_fleet(entry_processes, tmp_path) as fleet:
         await fleet.repeat('/files/fatal', seconds=2.0)
-        await until(lambda: count_quarantined(handles[1]), 1)
+        await wait_until_equal(lambda: count_quarantined(entry_processes[1]), 1)
         await anyio.sleep(1.0)
-        for handle in handles:
+        for handle in entry_processes:
             handle.signal(signal.SIGKILL)
-            await handle.ended()
-        for handle in handles:
+            await handle.wait_for_exit()
+        for handle in entry_processes:
             handle.start()
-        for handle in handles:
-            await handle.until_ready()
-            await until(partial(count_quarantined, handle), 1)
+        for handle in entry_processes:
+            await handle.wait_until_ready()
+            await wait_until_equal(partial(count_quarantined, handle), 1)
         crashes_before = len(fleet.trace.crashes)
         await fleet.repeat('/files/fatal', seconds=2.0)
         assert len(fleet.trace.crashes) == crashes_before
@@ -143,21 +148,29 @@
 
 @pytest.mark.anyio
 async def test_operators_list_and_lift_a_quarantine(
-    handles: list[EntryProcessHandle],
+    entry_processes: list[EntryProcessHandle],
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    async with crashing_fleet(handles, tmp_path) as fleet:
+    async with crashing_fleet(entry_processes, tmp_path) as fleet:
         await fleet.repeat('/files/fatal', seconds=2.0)
-        await until(lambda: count_quarantined(handles[1]), 1)
-        (listed,) = await list_quarantined(handles[0])
-        await anyio.to_thread.run_sync(Quarantine(node=f'http://{handles[0].metrics}'))
+        await wait_until_equal(lambda: count_quarantined(entry_processes[1]), 1)
+        (listed,) = await list_quarantined(entry_processes[0])
+        await anyio.to_thread.run_sync(
+            Quarantine(node=f'http://{entry_processes[0].metrics_address}')
+        )
         assert str(listed['request']) in capsys.readouterr().out
-        lift = Quarantine(node=f'http://{handles[0].metrics}', lift=str(listed['request']))
+        lift = Quarantine(
+            node=f'http://{entry_processes[0].metrics_address}', lift=str(listed['request'])
+        )
         await anyio.to_thread.run_sync(lift)
-        await until(lambda: count_quarantined(handles[1]), 0)
-        quarantined = [line for line in handles[0].lines() if line['kind'] == 'quarantined']
-        timeline = explain_request(str(quarantined[-1]['request']), handles[0].lines())
+        await wait_until_equal(lambda: count_quarantined(entry_processes[1]), 0)
+        quarantined = [
+            line for line in entry_processes[0].log_records() if line['kind'] == 'quarantined'
+        ]
+        timeline = explain_request(
+            str(quarantined[-1]['request']), entry_processes[0].log_records()
+        )
         assert any('crashes=' in line and str(listed['request']) in line for line in timeline)
 
 
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platform_standin import endpoint_row
+from platform_standin import endpoint_document
 
 from plantainloft_core.outcomes import Invalid
 from plantainloft_node.replica.news import (
@@ -49,7 +49,7 @@
 
 def row_with(path: tuple[str, ...], value: object) -> dict[str, Any]:
     """Return a valid row with the field at ``path`` replaced by ``value``."""
-    document = endpoint_row('10.0.0.1:80')
+    document = endpoint_document('10.0.0.1:80')
     parent = document
     for name in path[:-1]:
         parent = parent[name]
@@ -58,19 +58,19 @@
 
 
 def test_the_start_time_of_an_endpoint_is_decoded() -> None:
-    listed = decoded({**endpoint_row('10.0.0.1:80'), 'born': BORN_MS})
+    listed = decoded({**endpoint_document('10.0.0.1:80'), 'born': BORN_MS})
     assert isinstance(listed, EndpointListed)
     assert listed.record.born_ms == BORN_MS
     assert listed.record.incarnation != listed.record._replace(born_ms=BORN_MS + 1).incarnation
 
 
 def test_a_row_without_a_start_time_is_accepted() -> None:
-    assert isinstance(decoded(endpoint_row('10.0.0.1:80')), EndpointListed)
+    assert isinstance(decoded(endpoint_document('10.0.0.1:80')), EndpointListed)
 
 
 @pytest.mark.parametrize('path', FIELDS)
 def test_a_row_with_a_missing_field_is_rejected(path: tuple[str, ...]) -> None:
-    document = endpoint_row('10.0.0.1:80')
+    document = endpoint_document('10.0.0.1:80')
     parent = document
     for name in path[:-1]:
         parent = parent[name]
--- a/tests/test_expecting.py
+++ b/tests/test_expecting.py
@@ -1,7 +1,7 @@
 """Prediction of answer times, and its use in placement."""
 
 import pytest
-from entry_fixtures import SERVICE, route
+from entry_fixtures import SERVICE, make_route
 
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.routes import ServiceLimits
@@ -26,7 +26,7 @@
 SERVICE_LIMITS = ServiceLimits(
     name=SERVICE, health_path='/health', max_connections=100, warmup_s=3.0, cold_requests_per_s=11.0
 )
-ROUTE = route(idempotent=True, prefix='/files/', priority=0)
+ROUTE = make_route(idempotent=True, prefix='/files/', priority=0)
 
 
 def record(endpoint_id: str, zone: str) -> EndpointRecord:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -69,7 +69,7 @@
 
 
 def test_killed_entry_instance_drops_out_of_lookups(
-    tiny: Cluster, snapshot: SnapshotAssertion
+    tiny_deployment: Cluster, snapshot: SnapshotAssertion
 ) -> None:
     """Symptom: look-ups name an entry instance that is dead.
 
@@ -77,14 +77,14 @@
     look-ups. Guards against members that never expire: its lease (3 s here) must run
     out.
     """
-    before = _looked_up_names(tiny)
-    tiny.processes.signal(TARGET, signal.SIGKILL)
-    after = _wait_until_absent(tiny, TARGET)
+    before = _looked_up_names(tiny_deployment)
+    tiny_deployment.processes.signal(TARGET, signal.SIGKILL)
+    after = _wait_until_absent(tiny_deployment, TARGET)
     assert {'before': before, 'after': after} == snapshot
 
 
 def test_graceful_stop_cuts_no_request_and_steers_away_first(
-    tiny: Cluster, snapshot: SnapshotAssertion
+    tiny_deployment: Cluster, snapshot: SnapshotAssertion
 ) -> None:
     """Symptom: requests are cut when an entry instance is stopped for maintenance.
 
@@ -92,7 +92,7 @@
     SIGTERM. Guards against stopping without waiting for requests in flight, and
     without leaving look-ups first.
     """
-    entry = tiny.entries_by_name[TARGET]
+    entry = tiny_deployment.entries_by_name[TARGET]
     results: list[str] = []
 
     async def send_load() -> None:
@@ -107,11 +107,11 @@
                 for _ in range(8):
                     tasks.start_soon(send_one)
                 await anyio.sleep(0.1)
-                tiny.processes.signal(TARGET, signal.SIGTERM)
+                tiny_deployment.processes.signal(TARGET, signal.SIGTERM)
 
     anyio.run(send_load)
-    exit_status = tiny.processes.stop(TARGET)
-    named_after_stop = TARGET in _looked_up_names(tiny)
+    exit_status = tiny_deployment.processes.stop(TARGET)
+    named_after_stop = TARGET in _looked_up_names(tiny_deployment)
     transcript = {
         'results': sorted(results),
         'exit': exit_status,
@@ -120,7 +120,9 @@
     assert transcript == snapshot
 
 
-def test_drained_endpoint_gets_no_new_work(tiny: Cluster, snapshot: SnapshotAssertion) -> None:
+def test_drained_endpoint_gets_no_new_work(
+    tiny_deployment: Cluster, snapshot: SnapshotAssertion
+) -> None:
     """Symptom: an endpoint being drained keeps receiving new requests.
 
     The operator sets one endpoint to draining while requests keep arriving. Guards
@@ -129,14 +131,14 @@
     """
     drained = 'case-desk-ankara-a-0'
     patch = [{'op': 'add', 'path': f'/endpoints/{drained}/state', 'value': 'draining'}]
-    committed = _commit(tiny, base_version=1, patch=patch)
+    committed = _commit(tiny_deployment, base_version=1, patch=patch)
     started = time.monotonic()
-    for url in tiny.entries_by_name.values():
+    for url in tiny_deployment.entries_by_name.values():
         wait_for_version(url, 2)
     applied_after_s = time.monotonic() - started
-    runs_url = f'{tiny.endpoints_by_name[drained]}/executions'
+    runs_url = f'{tiny_deployment.endpoints_by_name[drained]}/executions'
     runs_before = sum(httpx.get(runs_url).json()['runs_by_key'].values())
-    calls = [_call(tiny.entries_by_name[TARGET], 'GET') for _ in range(6)]
+    calls = [_call(tiny_deployment.entries_by_name[TARGET], 'GET') for _ in range(6)]
     runs_after = sum(httpx.get(runs_url).json()['runs_by_key'].values())
     assert applied_after_s < WAIT_TIMEOUT_S
     transcript = {
@@ -148,7 +150,7 @@
 
 
 def test_endpoint_that_leaves_on_its_own_gets_no_new_work(
-    tiny: Cluster, snapshot: SnapshotAssertion
+    tiny_deployment: Cluster, snapshot: SnapshotAssertion
 ) -> None:
     """Symptom: an endpoint that is leaving is sent requests for seconds.
 
@@ -157,8 +159,8 @@
     zone. Guards against ignoring the draining state that the endpoint reports in its
     load report and in refusals.
     """
-    leaving = tiny.endpoints_by_name['case-desk-ankara-a-0']
-    entry = tiny.entries_by_name[TARGET]
+    leaving = tiny_deployment.endpoints_by_name['case-desk-ankara-a-0']
+    entry = tiny_deployment.entries_by_name[TARGET]
     before = _call(entry, 'GET')
     httpx.post(f'{leaving}/drain')
     after = [_call(entry, 'GET') for _ in range(6)]
@@ -173,7 +175,7 @@
 
 
 def test_table_outage_keeps_serving_and_refuses_truthfully(
-    tiny: Cluster, snapshot: SnapshotAssertion
+    tiny_deployment: Cluster, snapshot: SnapshotAssertion
 ) -> None:
     """Symptom: a table outage stops traffic or loses configuration.
 
@@ -182,25 +184,25 @@
     against treating the outage as an empty configuration, and against reporting a
     booking as failed when it may have run.
     """
-    entry = tiny.entries_by_name[TARGET]
-    _set_fault_mode(tiny, 'down')
+    entry = tiny_deployment.entries_by_name[TARGET]
+    _set_fault_mode(tiny_deployment, 'down')
     during = {
         'read': _call(entry, 'GET'),
         'booking': _call(entry, 'POST', key='booking-1'),
-        'commit': isinstance(_commit(tiny, base_version=1, patch=[]), Unreachable),
+        'commit': isinstance(_commit(tiny_deployment, base_version=1, patch=[]), Unreachable),
         'version': httpx.get(f'{entry}/v1/status').json()['version'],
     }
-    _set_fault_mode(tiny, 'normal')
+    _set_fault_mode(tiny_deployment, 'normal')
     patch = [{'op': 'replace', 'path': '/services/case-desk/slo_ms', 'value': 900}]
-    after = {'commit': _commit(tiny, base_version=1, patch=patch)}
-    for url in tiny.entries_by_name.values():
+    after = {'commit': _commit(tiny_deployment, base_version=1, patch=patch)}
+    for url in tiny_deployment.entries_by_name.values():
         wait_for_version(url, 2)
     after['booking'] = _call(entry, 'POST', key='booking-1')
     assert {'during': during, 'after': after} == snapshot
 
 
 def test_instances_restart_and_die_while_the_table_is_down(
-    tiny: Cluster, snapshot: SnapshotAssertion
+    tiny_deployment: Cluster, snapshot: SnapshotAssertion
 ) -> None:
     """Symptom: nodes can't restart during an outage of the table, and dead instances
     stay in look-ups until it is over.
@@ -210,25 +212,25 @@
     only source of configuration and of liveness.
     """
     patch = [{'op': 'replace', 'path': '/services/case-desk/slo_ms', 'value': 900}]
-    _commit(tiny, base_version=1, patch=patch)
-    for url in tiny.entries_by_name.values():
+    _commit(tiny_deployment, base_version=1, patch=patch)
+    for url in tiny_deployment.entries_by_name.values():
         wait_for_version(url, 2)
-    _set_fault_mode(tiny, 'down')
-    restarted = tiny.entries_by_name[TARGET]
-    tiny.processes.restart(TARGET, ready_url=f'{restarted}/v1/status')
+    _set_fault_mode(tiny_deployment, 'down')
+    restarted = tiny_deployment.entries_by_name[TARGET]
+    tiny_deployment.processes.restart(TARGET, ready_url=f'{restarted}/v1/status')
     wait_for_version(restarted, 2)
     killed = 'entry-ankara-b-0'
-    tiny.processes.signal(killed, signal.SIGKILL)
+    tiny_deployment.processes.signal(killed, signal.SIGKILL)
     transcript = {
         'restarted_serves': _call(restarted, 'GET'),
-        'named': _wait_until_absent(tiny, killed),
+        'named': _wait_until_absent(tiny_deployment, killed),
     }
-    wait_for_members(restarted, set(tiny.entries_by_name) - {killed})
+    wait_for_members(restarted, set(tiny_deployment.entries_by_name) - {killed})
     assert transcript == snapshot
 
 
 def test_frozen_instance_is_left_out_and_comes_back(
-    tiny: Cluster, snapshot: SnapshotAssertion
+    tiny_deployment: Cluster, snapshot: SnapshotAssertion
 ) -> None:
     """Symptom: callers are sent to a frozen instance, or an instance that resumed is
     never used again.
@@ -237,16 +239,18 @@
     then continued. Guards against missing heartbeats, and against a dead state that
     the instance can't refute.
     """
-    tiny.processes.signal(TARGET, signal.SIGSTOP)
-    while_frozen = _wait_until_absent(tiny, TARGET)
-    tiny.processes.signal(TARGET, signal.SIGCONT)
-    wait_for_members(tiny.entries_by_name[OBSERVER], set(tiny.entries_by_name))
-    wait_for_members(tiny.entries_by_name[TARGET], set(tiny.entries_by_name))
-    assert {'frozen': while_frozen, 'woken': _looked_up_names(tiny)} == snapshot
+    tiny_deployment.processes.signal(TARGET, signal.SIGSTOP)
+    while_frozen = _wait_until_absent(tiny_deployment, TARGET)
+    tiny_deployment.processes.signal(TARGET, signal.SIGCONT)
+    wait_for_members(
+        tiny_deployment.entries_by_name[OBSERVER], set(tiny_deployment.entries_by_name)
+    )
+    wait_for_members(tiny_deployment.entries_by_name[TARGET], set(tiny_deployment.entries_by_name))
+    assert {'frozen': while_frozen, 'woken': _looked_up_names(tiny_deployment)} == snapshot
 
 
 def test_booking_runs_once_when_claim_answers_are_lost(
-    tiny: Cluster, snapshot: SnapshotAssertion
+    tiny_deployment: Cluster, snapshot: SnapshotAssertion
 ) -> None:
     """Symptom: a booking is charged twice after a retry.
 
@@ -254,25 +258,26 @@
     entry instance, and the caller retries through another. Guards against taking a
     claim whose answer was lost for failed or for another node's.
     """
-    _set_fault_mode(tiny, 'lose_answer')
-    first = _call(tiny.entries_by_name[TARGET], 'POST', key='booking-7')
-    retry = _call(tiny.entries_by_name[OBSERVER], 'POST', key='booking-7')
-    _set_fault_mode(tiny, 'normal')
+    _set_fault_mode(tiny_deployment, 'lose_answer')
+    first = _call(tiny_deployment.entries_by_name[TARGET], 'POST', key='booking-7')
+    retry = _call(tiny_deployment.entries_by_name[OBSERVER], 'POST', key='booking-7')
+    _set_fault_mode(tiny_deployment, 'normal')
     runs = 0
-    for url in tiny.endpoints_by_name.values():
+    for url in tiny_deployment.endpoints_by_name.values():
         runs += httpx.get(f'{url}/executions').json()['runs_by_key'].get('booking-7', 0)
     assert {'first': first, 'retry': retry, 'runs': runs} == snapshot
 
 
-def test_commit_in_force_everywhere_without_revert(tiny: Cluster) -> None:
+def test_commit_in_force_everywhere_without_revert(tiny_deployment: Cluster) -> None:
     outcome = _commit(
-        tiny,
+        tiny_deployment,
         base_version=1,
         patch=[{'op': 'replace', 'path': '/services/case-desk/slo_ms', 'value': 800}],
     )
     assert outcome == Committed(version=2)
-    for url in tiny.entries_by_name.values():
+    for url in tiny_deployment.entries_by_name.values():
         wait_for_version(url, 2)
     assert {
-        httpx.get(f'{url}/v1/status').json()['version'] for url in tiny.entries_by_name.values()
+        httpx.get(f'{url}/v1/status').json()['version']
+        for url in tiny_deployment.entries_by_name.values()
     } == {2}
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -85,27 +85,33 @@
         assert incremental == fully_validated
 
 
-async def _commit(client: TableClient, *, base_version: int, patch: list[dict[str, Any]]) -> object:
+async def _commit(
+    table_client: TableClient, *, base_version: int, patch: list[dict[str, Any]]
+) -> object:
     return await commit_patch(
-        client, base_version=base_version, patch=patch, author='t', change_id=f'c{base_version}'
+        table_client,
+        base_version=base_version,
+        patch=patch,
+        author='t',
+        change_id=f'c{base_version}',
     )
 
 
-def _follower(client: TableClient) -> ConfigFollower:
-    return ConfigFollower(client=client, poll_s=0.01, node_count=lambda: 1)
+def _follower(table_client: TableClient) -> ConfigFollower:
+    return ConfigFollower(client=table_client, poll_s=0.01, node_count=lambda: 1)
 
 
-async def test_outdated_or_incomplete_peer_never_reverts_a_node(client: TableClient) -> None:
+async def test_outdated_or_incomplete_peer_never_reverts_a_node(table_client: TableClient) -> None:
     """A node must not revert to an earlier configuration.
 
     This happens if it trusts a peer to deliver the version it announced. The peer here
     announces version 9 to a node at version 2, but returns the document of version 1
     and changes with a gap.
     """
-    assert await _commit(client, base_version=0, patch=INITIAL_PATCH) == Committed(version=1)
+    assert await _commit(table_client, base_version=0, patch=INITIAL_PATCH) == Committed(version=1)
     second = [{'op': 'add', 'path': '/client_blocks/b9', 'value': {'zone': 'ankara-b'}}]
-    assert await _commit(client, base_version=1, patch=second) == Committed(version=2)
-    follower = _follower(client)
+    assert await _commit(table_client, base_version=1, patch=second) == Committed(version=2)
+    follower = _follower(table_client)
     await follower.poll_once()
     change_after_gap = Change(number=9, patch=second, author='x', change_id='x', committed_at=0)
     follower.note_available_version(
@@ -117,7 +123,7 @@
 
 
 async def test_node_takes_configuration_from_a_peer_while_the_table_is_down(
-    client: TableClient, table: TableService
+    table_client: TableClient, table: TableService
 ) -> None:
     """A node that restarts during a table outage must not refuse all traffic.
 
@@ -125,7 +131,7 @@
     down here, the node starts without configuration and a peer announces version 7.
     """
     table.faults = Faults(mode='down')
-    follower = _follower(client)
+    follower = _follower(table_client)
     peer = _StubPeer(changes=[], snapshot=Snapshot(number=7, document=DOCUMENT))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(follower.run)
@@ -137,23 +143,23 @@
 
 
 async def test_many_versions_are_read_through_a_snapshot(
-    client: TableClient, table: TableService
+    table_client: TableClient, table: TableService
 ) -> None:
     """A node that joins must not replay the whole history of changes.
 
     It must read a snapshot if there is one, and work without it. There are 60 versions
     here with one snapshot at version 50, which the object store then loses.
     """
-    await _commit(client, base_version=0, patch=INITIAL_PATCH)
+    await _commit(table_client, base_version=0, patch=INITIAL_PATCH)
     for number in range(1, VERSIONS_PER_SNAPSHOT + 10):
         patch = [{'op': 'add', 'path': f'/client_blocks/n{number}', 'value': {'zone': 'ankara-a'}}]
-        assert await _commit(client, base_version=number, patch=patch) == Committed(
+        assert await _commit(table_client, base_version=number, patch=patch) == Committed(
             version=number + 1
         )
     reads_before = table.reads
-    through_snapshot = await read_version(client, VERSIONS_PER_SNAPSHOT + 10)
+    through_snapshot = await read_version(table_client, VERSIONS_PER_SNAPSHOT + 10)
     assert table.reads - reads_before == 11
     table.objects_by_key.clear()
-    replayed = await read_version(client, VERSIONS_PER_SNAPSHOT + 10)
+    replayed = await read_version(table_client, VERSIONS_PER_SNAPSHOT + 10)
     assert not isinstance(replayed, Unreachable | Invalid)
     assert replayed == through_snapshot
