--- a/tests/test_from_id_to_cause.py
+++ b/tests/test_from_id_to_cause.py
@@ -2,18 +2,18 @@
 
 import anyio
 import pytest
-from entry_fixtures import Conversation
+from entry_fixtures import ScriptedConnection
 from platform_standin import (
     ENDPOINT_TABLE,
-    OPERATOR,
-    SIGNED,
+    OPERATOR_TABLE,
+    SIGNED_OK_RESPONSE,
     EntryDeployment,
-    call,
-    config,
-    endpoint_row,
-    followed,
-    named,
-    until,
+    count_resolved_addresses,
+    endpoint_document,
+    follows_declarations,
+    http_get,
+    make_configuration,
+    wait_until_equal,
 )
 
 from plantainloft_core.organisations import digest_key
@@ -22,8 +22,8 @@
 pytestmark = pytest.mark.anyio
 
 
-def timeline(deployment: EntryDeployment, request: str) -> list[str]:
-    texts = [entry.log_path.read_text() for entry in deployment.entries]
+def timeline(entry_deployment: EntryDeployment, request: str) -> list[str]:
+    texts = [entry.log_path.read_text() for entry in entry_deployment.entry_processes]
     return explain_request(request, parse_log_lines(texts))
 
 
@@ -31,69 +31,82 @@
     return f'X-Plantainloft-Request-Id: {request}\r\n'
 
 
-async def test_refused_because_every_endpoint_is_full(deployment: EntryDeployment) -> None:
+async def test_refused_because_every_endpoint_is_full(entry_deployment: EntryDeployment) -> None:
     """Slow requests occupy the only slot, so the next ones are refused."""
 
-    async def answer_slowly(connection: Conversation) -> None:
-        await connection.request()
+    async def answer_slowly(connection: ScriptedConnection) -> None:
+        await connection.read_request()
         await anyio.sleep(1.0)
-        await connection.say(SIGNED)
+        await connection.send(SIGNED_OK_RESPONSE)
 
-    endpoint = deployment.endpoints[0]
+    endpoint = entry_deployment.endpoints[0]
     endpoint.script = answer_slowly
-    deployment.store.put(ENDPOINT_TABLE, 'i-desk', endpoint_row(endpoint.address, slots=1))
-    entry = deployment.entries[0]
+    entry_deployment.store.put(
+        ENDPOINT_TABLE, 'i-desk', endpoint_document(endpoint.address, slots=1)
+    )
+    entry = entry_deployment.entry_processes[0]
 
-    async def has_endpoint_row() -> bool:
-        rows = [line['row_version'] for line in entry.lines() if line.get('row') == 'i-desk']
-        return bool(rows) and max(rows) == deployment.store.rows[(ENDPOINT_TABLE, 'i-desk')]['ver']
+    async def has_endpoint_document() -> bool:
+        rows = [line['row_version'] for line in entry.log_records() if line.get('row') == 'i-desk']
+        return (
+            bool(rows)
+            and max(rows) == entry_deployment.store.rows[(ENDPOINT_TABLE, 'i-desk')]['ver']
+        )
 
-    await until(has_endpoint_row, True)
+    await wait_until_equal(has_endpoint_document, True)
     async with anyio.create_task_group() as tasks:
         for number in range(3):
-            tasks.start_soon(lambda number=number: call(entry.front, f'/files/{number}'))
+            tasks.start_soon(
+                lambda number=number: http_get(entry.caller_address, f'/files/{number}')
+            )
         await anyio.sleep(0.3)
-        answer = await call(entry.front, '/files/9', more=request_id_header('full-1'))
+        answer = await http_get(
+            entry.caller_address, '/files/9', extra_headers=request_id_header('full-1')
+        )
     assert answer.startswith(b'HTTP/1.1 503') and b'retry-after' in answer.lower()
-    text = '\n'.join(timeline(deployment, 'full-1'))
+    text = '\n'.join(timeline(entry_deployment, 'full-1'))
     assert 'Front: request refused.' in text
     assert 'reason=every endpoint is full' in text
     assert 'endpoints=i-desk 2.' in text or 'endpoints=i-desk 3.' in text
 
 
 async def test_outcome_unknown_because_the_endpoint_stopped_responding(
-    deployment: EntryDeployment,
+    entry_deployment: EntryDeployment,
 ) -> None:
     """The endpoint reads the request and never sends anything."""
 
-    async def never_answer(connection: Conversation) -> None:
-        await connection.request()
+    async def never_answer(connection: ScriptedConnection) -> None:
+        await connection.read_request()
         await anyio.sleep_forever()
 
-    deployment.endpoints[0].script = never_answer
-    entry = deployment.entries[0]
-    answer = await call(entry.front, '/notices/1', more=request_id_header('lost-1'))
+    entry_deployment.endpoints[0].script = never_answer
+    entry = entry_deployment.entry_processes[0]
+    answer = await http_get(
+        entry.caller_address, '/notices/1', extra_headers=request_id_header('lost-1')
+    )
     assert answer.startswith(b'HTTP/1.1 504')
-    text = '\n'.join(timeline(deployment, 'lost-1'))
+    text = '\n'.join(timeline(entry_deployment, 'lost-1'))
     assert 'Front: request failed.' in text
     assert 'reason=out of time' in text
     assert 'waiting_for=i-desk' in text
 
 
-async def test_routed_by_an_outdated_configuration(deployment: EntryDeployment) -> None:
+async def test_routed_by_an_outdated_configuration(entry_deployment: EntryDeployment) -> None:
     """The store refuses one instance while the configuration changes."""
-    first, second = deployment.entries
-    await until(lambda: named(second), 2)
-    deployment.doors[0].refuse()
-    await until(lambda: followed(first), False)
-    deployment.store.put(OPERATOR, 'config', config(4, service='other'))
-    await call(first.front, '/files/1', more=request_id_header('old-1'))
+    first, second = entry_deployment.entry_processes
+    await wait_until_equal(lambda: count_resolved_addresses(second), 2)
+    entry_deployment.store_proxies[0].start_refusing()
+    await wait_until_equal(lambda: follows_declarations(first), False)
+    entry_deployment.store.put(OPERATOR_TABLE, 'config', make_configuration(4, service='other'))
+    await http_get(first.caller_address, '/files/1', extra_headers=request_id_header('old-1'))
 
     async def has_new_configuration() -> bool:
-        return any(line['kind'] == 'belief' and line.get('version') == 4 for line in first.lines())
+        return any(
+            line['kind'] == 'belief' and line.get('version') == 4 for line in first.log_records()
+        )
 
-    await until(has_new_configuration, True)
-    lines = timeline(deployment, 'old-1')
+    await wait_until_equal(has_new_configuration, True)
+    lines = timeline(entry_deployment, 'old-1')
     store_lost = next(line for line in lines if 'declarations not followed' in line)
     request_line = next(line for line in lines if line.startswith('*'))
     learned = next(line for line in lines if 'RoutesDeclared' in line and 'version=4' in line)
@@ -102,12 +115,12 @@
     assert 'source=e2' in learned
 
 
-async def declare_organisation(deployment: EntryDeployment) -> None:
+async def declare_organisation(entry_deployment: EntryDeployment) -> None:
     """Declare an organisation limited to one request per window.
 
     Return once the first instance has that configuration.
     """
-    declared = config(4)
+    declared = make_configuration(4)
     declared['resources'].append(
         {
             'resource_type': 'tenants',
@@ -115,40 +128,46 @@
             'spec': {'api_keys': ['k-bar'], 'rate_per_s': 0.2, 'burst': 0},
         }
     )
-    deployment.store.put(OPERATOR, 'config', declared)
-    entry = deployment.entries[0]
+    entry_deployment.store.put(OPERATOR_TABLE, 'config', declared)
+    entry = entry_deployment.entry_processes[0]
 
     async def has_new_configuration() -> bool:
-        return any(line['kind'] == 'belief' and line.get('version') == 4 for line in entry.lines())
+        return any(
+            line['kind'] == 'belief' and line.get('version') == 4 for line in entry.log_records()
+        )
 
-    await until(has_new_configuration, True)
+    await wait_until_equal(has_new_configuration, True)
 
 
-async def test_rejected_because_no_organisation_has_the_key(deployment: EntryDeployment) -> None:
-    await declare_organisation(deployment)
-    entry = deployment.entries[0]
-    more = f'Api-Key: k-old\r\n{request_id_header("old-key-1")}'
-    answer = await call(entry.front, '/files/1', more=more)
+async def test_rejected_because_no_organisation_has_the_key(
+    entry_deployment: EntryDeployment,
+) -> None:
+    await declare_organisation(entry_deployment)
+    entry = entry_deployment.entry_processes[0]
+    extra_headers = f'Api-Key: k-old\r\n{request_id_header("old-key-1")}'
+    answer = await http_get(entry.caller_address, '/files/1', extra_headers=extra_headers)
     assert answer.startswith(b'HTTP/1.1 401')
-    text = '\n'.join(timeline(deployment, 'old-key-1'))
+    text = '\n'.join(timeline(entry_deployment, 'old-key-1'))
     assert 'Front: request unauthorised.' in text
     assert f'version=4, key_digest={digest_key(b"k-old")[:12]}' in text
     assert 'k-old' not in text
 
 
 async def test_rejected_because_its_organisation_exceeded_its_limit(
-    deployment: EntryDeployment,
+    entry_deployment: EntryDeployment,
 ) -> None:
-    await declare_organisation(deployment)
-    entry = deployment.entries[0]
+    await declare_organisation(entry_deployment)
+    entry = entry_deployment.entry_processes[0]
     answers = [
-        await call(
-            entry.front, '/files/1', more=f'Api-Key: k-bar\r\n{request_id_header(f"much-{number}")}'
+        await http_get(
+            entry.caller_address,
+            '/files/1',
+            extra_headers=f'Api-Key: k-bar\r\n{request_id_header(f"much-{number}")}',
         )
         for number in range(40)
     ]
     assert answers[-1].startswith(b'HTTP/1.1 429') and b'retry-after' in answers[-1].lower()
-    text = '\n'.join(timeline(deployment, 'much-39'))
+    text = '\n'.join(timeline(entry_deployment, 'much-39'))
     assert 'Front: request over_limit.' in text
     assert 'organisation=ankara-bar' in text
     assert 'fleet_wanted=' in text
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -9,14 +9,14 @@
 import pytest
 from anyio.abc import SocketAttribute
 from entry_fixtures import (
-    Conversation,
-    Entry,
-    get,
-    post,
-    route,
-    running_entry,
-    table_of,
-    whole,
+    ForwardingServer,
+    ScriptedConnection,
+    get_request,
+    make_route,
+    make_route_table,
+    post_request,
+    running_forwarding_server,
+    signed_ok_response,
 )
 
 from plantainloft_core.routes import CallerLimits
@@ -29,28 +29,32 @@
     return int(answer.split(b' ', 2)[1])
 
 
-async def echo(conversation: Conversation) -> None:
+async def echo(connection: ScriptedConnection) -> None:
     while True:
-        request = await conversation.request()
+        request = await connection.read_request()
         found = re.search(rb'x-request-id: (\S+)', request.lower())
-        await conversation.say(whole(b'ok', request_id=found.group(1) if found else b''))
+        await connection.send(
+            signed_ok_response(b'ok', request_id=found.group(1) if found else b'')
+        )
 
 
-async def refuse(conversation: Conversation) -> None:
+async def refuse(connection: ScriptedConnection) -> None:
     while True:
-        await conversation.request()
-        await conversation.say(
+        await connection.read_request()
+        await connection.send(
             b'HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nX-Load: 4,9,4\r\nContent-Length: 0\r\n\r\n'
         )
 
 
-async def close_at_once(conversation: Conversation) -> None:
-    await conversation.request()
+async def close_at_once(connection: ScriptedConnection) -> None:
+    await connection.read_request()
 
 
 async def test_headers_time_left_and_target_reach_the_endpoint() -> None:
-    async with running_entry(echo) as (entry, (endpoint,)):
-        answer = await entry.ask(get(more=b'X-Request-Timeout-Ms: 900\r\nTE: trailers\r\n'))
+    async with running_forwarding_server(echo) as (server, (endpoint,)):
+        answer = await server.send_request(
+            get_request(extra_headers=b'X-Request-Timeout-Ms: 900\r\nTE: trailers\r\n')
+        )
     assert status_of(answer) == 200
     sent = endpoint.requests[0].lower()
     assert b'x-target-endpoint: i0' in sent
@@ -60,24 +64,26 @@
 
 
 async def test_unknown_path_is_404_and_no_configuration_is_503() -> None:
-    async with running_entry(echo) as (entry, _):
-        assert status_of(await entry.ask(get(b'/nothing/'))) == 404
-    async with running_entry(echo, table=table_of(version=0)) as (entry, _):
-        answer = await entry.ask(get())
+    async with running_forwarding_server(echo) as (server, _):
+        assert status_of(await server.send_request(get_request(b'/nothing/'))) == 404
+    async with running_forwarding_server(echo, table=make_route_table(version=0)) as (server, _):
+        answer = await server.send_request(get_request())
     assert status_of(answer) == 503
     assert b'retry-after' in answer.lower()
 
 
 async def test_a_request_refused_by_an_endpoint_goes_to_another_one() -> None:
-    async with running_entry(refuse, echo) as (entry, endpoints):
-        answers = [await entry.ask(post(b'x', request_id=b'r%d' % n)) for n in range(6)]
+    async with running_forwarding_server(refuse, echo) as (server, endpoints):
+        answers = [
+            await server.send_request(post_request(b'x', request_id=b'r%d' % n)) for n in range(6)
+        ]
     assert [status_of(answer) for answer in answers] == [200] * 6
     assert len(endpoints[1].requests) == 6
 
 
 async def test_a_request_refused_by_all_endpoints_gets_503_with_retry_after() -> None:
-    async with running_entry(refuse, refuse) as (entry, _):
-        answer = await entry.ask(post(b'x'))
+    async with running_forwarding_server(refuse, refuse) as (server, _):
+        answer = await server.send_request(post_request(b'x'))
     assert status_of(answer) == 503
     assert b'retry-after' in answer.lower()
 
@@ -89,23 +95,25 @@
     retry at another endpoint would run it again, and after a refusal the caller
     would send it again.
     """
-    async with running_entry(close_at_once, close_at_once) as (entry, endpoints):
-        answer = await entry.ask(post(b'x'))
+    async with running_forwarding_server(close_at_once, close_at_once) as (server, endpoints):
+        answer = await server.send_request(post_request(b'x'))
     assert status_of(answer) == 502
     assert sum(len(endpoint.requests) for endpoint in endpoints) == 1
 
 
 async def test_an_idempotent_request_is_sent_again_after_a_reset() -> None:
-    async with running_entry(close_at_once, echo) as (entry, _):
-        answers = [await entry.ask(get(request_id=b'r%d' % n)) for n in range(4)]
+    async with running_forwarding_server(close_at_once, echo) as (server, _):
+        answers = [await server.send_request(get_request(request_id=b'r%d' % n)) for n in range(4)]
     assert [status_of(answer) for answer in answers] == [200] * 4
 
 
 async def test_a_refused_connection_allows_a_retry_of_a_non_idempotent_request() -> None:
-    async with running_entry(echo, echo) as (entry, endpoints):
-        state = entry.endpoint_registry.by_id['i0']
+    async with running_forwarding_server(echo, echo) as (server, endpoints):
+        state = server.endpoint_registry.by_id['i0']
         state.record = state.record._replace(address='127.0.0.1:1')
-        answers = [await entry.ask(post(b'x', request_id=b'r%d' % n)) for n in range(4)]
+        answers = [
+            await server.send_request(post_request(b'x', request_id=b'r%d' % n)) for n in range(4)
+        ]
     assert [status_of(answer) for answer in answers] == [200] * 4
     assert len(endpoints[1].requests) == 4
 
@@ -117,39 +125,40 @@
     reused connection already carries the request of another caller.
     """
 
-    async def respond_twice(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(whole(b'first', request_id=b'r1'))
-        await conversation.request()
-        await conversation.say(
-            whole(b'stale', request_id=b'r1') + whole(b'second', request_id=b'r2')
+    async def respond_twice(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(signed_ok_response(b'first', request_id=b'r1'))
+        await connection.read_request()
+        await connection.send(
+            signed_ok_response(b'stale', request_id=b'r1')
+            + signed_ok_response(b'second', request_id=b'r2')
         )
         await anyio.sleep_forever()
 
-    async with running_entry(respond_twice) as (entry, _):
-        assert (await entry.ask(get(request_id=b'r1'))).endswith(b'first')
-        assert (await entry.ask(get(request_id=b'r2'))).endswith(b'second')
+    async with running_forwarding_server(respond_twice) as (server, _):
+        assert (await server.send_request(get_request(request_id=b'r1'))).endswith(b'first')
+        assert (await server.send_request(get_request(request_id=b'r2'))).endswith(b'second')
 
 
 async def test_surplus_bytes_end_the_connection_to_the_endpoint() -> None:
-    async def send_surplus_bytes(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(whole(b'ok', request_id=b'r1') + b'HTTP/1.1 200 OK\r\n')
-        await conversation.request()
+    async def send_surplus_bytes(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(signed_ok_response(b'ok', request_id=b'r1') + b'HTTP/1.1 200 OK\r\n')
+        await connection.read_request()
 
-    async with running_entry(send_surplus_bytes) as (entry, (endpoint,)):
+    async with running_forwarding_server(send_surplus_bytes) as (server, (endpoint,)):
         for _ in range(2):
-            assert (await entry.ask(get(request_id=b'r1'))).endswith(b'ok')
-    assert endpoint.connections == 2
+            assert (await server.send_request(get_request(request_id=b'r1'))).endswith(b'ok')
+    assert endpoint.accepted_connections == 2
 
 
 async def test_a_short_incomplete_response_becomes_502() -> None:
-    async def break_off(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(whole(b'whole answer')[:-5])
+    async def break_off(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(signed_ok_response(b'whole answer')[:-5])
 
-    async with running_entry(break_off) as (entry, _):
-        answer = await entry.ask(post(b'x'))
+    async with running_forwarding_server(break_off) as (server, _):
+        answer = await server.send_request(post_request(b'x'))
     assert status_of(answer) == 502
     assert b'whole' not in answer
 
@@ -163,34 +172,34 @@
     """
     body = b'x' * 300_000
 
-    async def break_off(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(whole(body)[:-1000])
+    async def break_off(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(signed_ok_response(body)[:-1000])
 
-    async with running_entry(break_off) as (entry, _):
-        answer = await entry.ask(post(b'x'))
+    async with running_forwarding_server(break_off) as (server, _):
+        answer = await server.send_request(post_request(b'x'))
     assert status_of(answer) == 200
     assert len(answer.partition(b'\r\n\r\n')[2]) < len(body)
 
 
 async def test_a_response_without_length_ends_with_its_connection() -> None:
-    async def respond_without_length(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(b'HTTP/1.1 200 OK\r\nX-Signature: s\r\n\r\nall of it')
+    async def respond_without_length(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(b'HTTP/1.1 200 OK\r\nX-Signature: s\r\n\r\nall of it')
 
-    async with running_entry(respond_without_length) as (entry, _):
-        answer = await entry.ask(get())
+    async with running_forwarding_server(respond_without_length) as (server, _):
+        answer = await server.send_request(get_request())
     assert status_of(answer) == 200
     assert answer.endswith(b'all of it')
 
 
 async def test_a_success_without_signature_is_not_forwarded() -> None:
-    async def respond_unsigned(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok')
+    async def respond_unsigned(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok')
 
-    async with running_entry(respond_unsigned) as (entry, _):
-        assert status_of(await entry.ask(post(b'x'))) == 502
+    async with running_forwarding_server(respond_unsigned) as (server, _):
+        assert status_of(await server.send_request(post_request(b'x'))) == 502
 
 
 async def test_a_503_without_a_not_run_header_becomes_502() -> None:
@@ -201,33 +210,40 @@
     caller would send it again.
     """
 
-    async def respond_503(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(b'HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n')
+    async def respond_503(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(b'HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n')
 
-    async with running_entry(respond_503) as (entry, _):
-        assert status_of(await entry.ask(post(b'x'))) == 502
+    async with running_forwarding_server(respond_503) as (server, _):
+        assert status_of(await server.send_request(post_request(b'x'))) == 502
 
 
 async def test_an_invalid_http_response_becomes_502() -> None:
-    async def send_garbage(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(b'\x00\xffnonsense\r\n\r\n')
+    async def send_garbage(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(b'\x00\xffnonsense\r\n\r\n')
 
-    async with running_entry(send_garbage) as (entry, _):
-        assert status_of(await entry.ask(post(b'x'))) == 502
+    async with running_forwarding_server(send_garbage) as (server, _):
+        assert status_of(await server.send_request(post_request(b'x'))) == 502
 
 
 async def test_pipelined_requests_run_together_and_are_answered_in_order() -> None:
-    async def respond_by_path(conversation: Conversation) -> None:
+    async def respond_by_path(connection: ScriptedConnection) -> None:
         while True:
-            request = await conversation.request()
+            request = await connection.read_request()
             if b'/files/slow' in request:
                 await anyio.sleep(0.2)
-            await conversation.say(whole(b'slow' if b'/files/slow' in request else b'fast'))
+            await connection.send(
+                signed_ok_response(b'slow' if b'/files/slow' in request else b'fast')
+            )
 
-    async with running_entry(respond_by_path) as (entry, _), await entry.connect() as stream:
-        await stream.send(get(b'/files/slow') + get(b'/files/fast', request_id=b'r2'))
+    async with (
+        running_forwarding_server(respond_by_path) as (server, _),
+        await server.connect() as stream,
+    ):
+        await stream.send(
+            get_request(b'/files/slow') + get_request(b'/files/fast', request_id=b'r2')
+        )
         got = b''
         with anyio.fail_after(5):
             while got.count(b'HTTP/1.1 200') < 2 or not got.endswith(b'fast'):
@@ -242,17 +258,17 @@
     A non-idempotent one must not have been run by then.
     """
 
-    async def respond_slowly(conversation: Conversation) -> None:
+    async def respond_slowly(connection: ScriptedConnection) -> None:
         while True:
-            await conversation.request()
+            await connection.read_request()
             await anyio.sleep(0.2)
-            await conversation.say(whole(b'ok', more=b'Connection: close\r\n'))
+            await connection.send(signed_ok_response(b'ok', extra_headers=b'Connection: close\r\n'))
 
     async with (
-        running_entry(respond_slowly) as (entry, (endpoint,)),
-        await entry.connect() as stream,
+        running_forwarding_server(respond_slowly) as (server, (endpoint,)),
+        await server.connect() as stream,
     ):
-        await stream.send(get() + post(b'x', request_id=b'r2'))
+        await stream.send(get_request() + post_request(b'x', request_id=b'r2'))
         await anyio.sleep(0.1)
         assert len(endpoint.requests) == 1
 
@@ -260,60 +276,70 @@
 async def test_a_caller_that_disconnects_cancels_its_request_at_the_endpoint() -> None:
     """Guards against endpoints that keep working on abandoned requests."""
 
-    async def hang(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.stream.receive()
+    async def hang(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.stream.receive()
 
-    async with running_entry(hang) as (entry, (endpoint,)):
-        stream = await entry.connect()
-        await stream.send(get())
+    async with running_forwarding_server(hang) as (server, (endpoint,)):
+        stream = await server.connect()
+        await stream.send(get_request())
         with anyio.fail_after(5):
             while not endpoint.requests:
                 await anyio.sleep(0.01)
             await stream.aclose()
-            while not endpoint.ended:
+            while not endpoint.closed_connections:
                 await anyio.sleep(0.01)
 
 
 async def test_the_routes_timeout_ends_a_request_that_ran_as_504() -> None:
-    async def hang(conversation: Conversation) -> None:
-        await conversation.request()
+    async def hang(connection: ScriptedConnection) -> None:
+        await connection.read_request()
         await anyio.sleep_forever()
 
-    table = table_of(route(idempotent=False, prefix='/notices/', timeout_s=0.2))
-    async with running_entry(hang, table=table) as (entry, _):
-        assert status_of(await entry.ask(post(b'x'))) == 504
+    table = make_route_table(make_route(idempotent=False, prefix='/notices/', timeout_s=0.2))
+    async with running_forwarding_server(hang, table=table) as (server, _):
+        assert status_of(await server.send_request(post_request(b'x'))) == 504
 
 
 async def test_request_heads_and_bodies_are_limited() -> None:
     limits = CallerLimits(max_header_bytes=2000, max_body_bytes=10)
-    table = table_of(route(idempotent=False, prefix='/notices/'), limits=limits)
-    async with running_entry(echo, table=table) as (entry, (endpoint,)):
-        assert status_of(await entry.ask(get(more=b'X-Long: ' + b'x' * 5000 + b'\r\n'))) == 431
-        assert status_of(await entry.ask(post(b'x' * 11))) == 413
+    table = make_route_table(make_route(idempotent=False, prefix='/notices/'), limits=limits)
+    async with running_forwarding_server(echo, table=table) as (server, (endpoint,)):
+        assert (
+            status_of(
+                await server.send_request(
+                    get_request(extra_headers=b'X-Long: ' + b'x' * 5000 + b'\r\n')
+                )
+            )
+            == 431
+        )
+        assert status_of(await server.send_request(post_request(b'x' * 11))) == 413
     assert not endpoint.requests
 
 
 async def test_a_caller_too_slow_with_its_head_gets_408() -> None:
     limits = CallerLimits(header_timeout_s=0.1, idle_timeout_s=5.0)
-    async with running_entry(echo, table=table_of(limits=limits)) as (entry, _):
-        assert status_of(await entry.ask(b'GET /files/1 HT')) == 408
+    async with running_forwarding_server(echo, table=make_route_table(limits=limits)) as (
+        server,
+        _,
+    ):
+        assert status_of(await server.send_request(b'GET /files/1 HT')) == 408
 
 
 async def test_a_long_body_is_streamed_and_answered() -> None:
     body = b'y' * 400_000
-    async with running_entry(echo) as (entry, (endpoint,)):
-        answer = await entry.ask(post(body))
+    async with running_forwarding_server(echo) as (server, (endpoint,)):
+        answer = await server.send_request(post_request(body))
     assert status_of(answer) == 200
     assert endpoint.requests[0].endswith(body)
 
 
 async def test_a_closing_connection_ends_with_its_last_answer() -> None:
-    async with running_entry(echo) as (entry, _), await entry.connect() as stream:
-        await stream.send(get())
+    async with running_forwarding_server(echo) as (server, _), await server.connect() as stream:
+        await stream.send(get_request())
         await stream.receive()
-        entry.connections[0].close_requested = True
-        await stream.send(get(request_id=b'r2'))
+        server.connections[0].close_requested = True
+        await stream.send(get_request(request_id=b'r2'))
         answer = b''
         with anyio.fail_after(5):
             try:
@@ -333,21 +359,21 @@
     pooled connections to that endpoint are likely to be silent as well.
     """
 
-    async def respond_once(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(whole(b'ok'))
-        await conversation.request()
+    async def respond_once(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(signed_ok_response(b'ok'))
+        await connection.read_request()
         await anyio.sleep_forever()
 
-    table = table_of(route(idempotent=False, prefix='/notices/', timeout_s=1.2))
-    async with running_entry(respond_once, table=table) as (entry, (endpoint,)):
+    table = make_route_table(make_route(idempotent=False, prefix='/notices/', timeout_s=1.2))
+    async with running_forwarding_server(respond_once, table=table) as (server, (endpoint,)):
         async with anyio.create_task_group() as tasks:
             for _ in range(2):
-                tasks.start_soon(entry.ask, post(b'x'))
-        assert endpoint.connections == 2
-        assert status_of(await entry.ask(post(b'x'))) == 504
-        assert status_of(await entry.ask(post(b'x'))) == 200
-    assert endpoint.connections == 3
+                tasks.start_soon(server.send_request, post_request(b'x'))
+        assert endpoint.accepted_connections == 2
+        assert status_of(await server.send_request(post_request(b'x'))) == 504
+        assert status_of(await server.send_request(post_request(b'x'))) == 200
+    assert endpoint.accepted_connections == 3
 
 
 async def test_connections_to_endpoints_that_left_are_closed() -> None:
@@ -356,19 +382,19 @@
     Idle connections to endpoints that had left stayed open, since they were only
     checked by further requests to the same endpoint.
     """
-    async with running_entry(echo) as (entry, _):
-        await entry.ask(get())
-        pool = entry.pool
+    async with running_forwarding_server(echo) as (server, _):
+        await server.send_request(get_request())
+        pool = server.pool
         assert len(pool) == 1
-        await pool.close_all_except(entry.endpoint_registry.incarnations())
+        await pool.close_all_except(server.endpoint_registry.incarnations())
         assert len(pool) == 1
-        entry.endpoint_registry.remove('i0')
-        await pool.close_all_except(entry.endpoint_registry.incarnations())
+        server.endpoint_registry.remove('i0')
+        await pool.close_all_except(server.endpoint_registry.incarnations())
         assert len(pool) == 0
 
 
 async def test_connections_use_tcp_keepalive_probes() -> None:
-    async with running_entry(echo) as (_, (endpoint,)):
+    async with running_forwarding_server(echo) as (_, (endpoint,)):
         connection = await connect(endpoint.address)
         raw_socket = connection._stream.extra(SocketAttribute.raw_socket)
         assert raw_socket.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
@@ -379,28 +405,31 @@
 async def test_pipelining_depends_on_the_route_not_on_the_method() -> None:
     """Guards against running a request twice on a non-idempotent route of GET requests."""
 
-    async def respond_slowly(conversation: Conversation) -> None:
+    async def respond_slowly(connection: ScriptedConnection) -> None:
         while True:
-            await conversation.request()
+            await connection.read_request()
             await anyio.sleep(0.2)
-            await conversation.say(whole(b'ok'))
+            await connection.send(signed_ok_response(b'ok'))
 
     async with (
-        running_entry(respond_slowly) as (entry, (endpoint,)),
-        await entry.connect() as stream,
+        running_forwarding_server(respond_slowly) as (server, (endpoint,)),
+        await server.connect() as stream,
     ):
-        await stream.send(get() + get(b'/notices/1', request_id=b'r2'))
+        await stream.send(get_request() + get_request(b'/notices/1', request_id=b'r2'))
         await anyio.sleep(0.1)
         assert len(endpoint.requests) == 1
 
 
 async def test_a_head_request_is_answered_without_a_body() -> None:
-    async def respond_with_head(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(b'HTTP/1.1 200 OK\r\nX-Signature: s\r\nContent-Length: 5\r\n\r\n')
+    async def respond_with_head(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(b'HTTP/1.1 200 OK\r\nX-Signature: s\r\nContent-Length: 5\r\n\r\n')
 
-    async with running_entry(respond_with_head) as (entry, _), await entry.connect() as stream:
-        await stream.send(get().replace(b'GET', b'HEAD'))
+    async with (
+        running_forwarding_server(respond_with_head) as (server, _),
+        await server.connect() as stream,
+    ):
+        await stream.send(get_request().replace(b'GET', b'HEAD'))
         with anyio.fail_after(5):
             answer = await stream.receive()
     assert status_of(answer) == 200
@@ -408,12 +437,15 @@
 
 
 async def test_a_204_has_neither_body_nor_length() -> None:
-    async def respond_no_content(conversation: Conversation) -> None:
-        await conversation.request()
-        await conversation.say(b'HTTP/1.1 204 No\r\nX-Signature: s\r\n\r\n')
+    async def respond_no_content(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(b'HTTP/1.1 204 No\r\nX-Signature: s\r\n\r\n')
 
-    async with running_entry(respond_no_content) as (entry, _), await entry.connect() as stream:
-        await stream.send(get())
+    async with (
+        running_forwarding_server(respond_no_content) as (server, _),
+        await server.connect() as stream,
+    ):
+        await stream.send(get_request())
         with anyio.fail_after(5):
             answer = await stream.receive()
     assert status_of(answer) == 204
@@ -430,8 +462,8 @@
 ) -> None:
     """Guards against a refused request whose id appears in no log."""
     caplog.set_level('INFO')
-    async with running_entry(echo, table=table_of(version=0)) as (entry, _):
-        await entry.ask(get(request_id=b'r7'))
+    async with running_forwarding_server(echo, table=make_route_table(version=0)) as (server, _):
+        await server.send_request(get_request(request_id=b'r7'))
     assert logged_fields(caplog)['refused'] == {
         'request': 'r7',
         'reason': 'no configuration',
@@ -450,14 +482,14 @@
     caplog.set_level('INFO')
     arrived = anyio.Event()
 
-    async def hang(conversation: Conversation) -> None:
-        await conversation.request()
+    async def hang(connection: ScriptedConnection) -> None:
+        await connection.read_request()
         arrived.set()
         await anyio.sleep_forever()
 
-    async with running_entry(hang) as (entry, _):
-        async with await entry.connect() as stream:
-            await stream.send(get(request_id=b'r8'))
+    async with running_forwarding_server(hang) as (server, _):
+        async with await server.connect() as stream:
+            await stream.send(get_request(request_id=b'r8'))
             await arrived.wait()
         with anyio.fail_after(5):
             while 'caller_left' not in logged_fields(caplog):
@@ -470,13 +502,13 @@
     """The endpoint closes the connection while a long response is streamed."""
     caplog.set_level('INFO')
 
-    async def break_off(conversation: Conversation) -> None:
-        await conversation.request()
+    async def break_off(connection: ScriptedConnection) -> None:
+        await connection.read_request()
         head = b'HTTP/1.1 200 OK\r\nX-Signature: s\r\nContent-Length: 200000\r\n\r\n'
-        await conversation.say(head + b'x' * 100000)
+        await connection.send(head + b'x' * 100000)
 
-    async with running_entry(break_off) as (entry, _):
-        await entry.ask(get(request_id=b'r9'))
+    async with running_forwarding_server(break_off) as (server, _):
+        await server.send_request(get_request(request_id=b'r9'))
     fields = logged_fields(caplog)['cut']
     assert (fields['request'], fields['endpoint']) == ('r9', 'i0')
 
@@ -485,30 +517,31 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level('INFO')
-    async with running_entry(echo) as (entry, _):
-        assert status_of(await entry.ask(b'no request\r\n\r\n')) == 400
+    async with running_forwarding_server(echo) as (server, _):
+        assert status_of(await server.send_request(b'no request\r\n\r\n')) == 400
     assert logged_fields(caplog)['improper'] == {'status': 400}
 
 
 async def test_an_endpoint_that_closes_during_a_long_body_does_not_end_the_instance() -> None:
     body = b'x' * 300_000
-    async with running_entry(close_at_once, close_at_once) as (entry, endpoints):
-        assert status_of(await entry.ask(post(body))) == 502
-        assert status_of(await entry.ask(get(b'/nothing/'))) == 404
+    async with running_forwarding_server(close_at_once, close_at_once) as (server, endpoints):
+        assert status_of(await server.send_request(post_request(body))) == 502
+        assert status_of(await server.send_request(get_request(b'/nothing/'))) == 404
         assert sum(len(endpoint.requests) for endpoint in endpoints) <= 1
 
 
 async def test_a_streamed_body_over_the_limit_does_not_end_the_instance() -> None:
-    async def read_forever(conversation: Conversation) -> None:
+    async def read_forever(connection: ScriptedConnection) -> None:
         while True:
-            await conversation.stream.receive()
+            await connection.stream.receive()
 
-    table = table_of(
-        route(idempotent=False, prefix='/notices/'), limits=CallerLimits(max_body_bytes=200_000)
+    table = make_route_table(
+        make_route(idempotent=False, prefix='/notices/'),
+        limits=CallerLimits(max_body_bytes=200_000),
     )
-    async with running_entry(read_forever, table=table) as (entry, _):
-        assert status_of(await entry.ask(post(b'x' * 300_000))) == 413
-        assert status_of(await entry.ask(get(b'/nothing/'))) == 404
+    async with running_forwarding_server(read_forever, table=table) as (server, _):
+        assert status_of(await server.send_request(post_request(b'x' * 300_000))) == 413
+        assert status_of(await server.send_request(get_request(b'/nothing/'))) == 404
 
 
 class CrashingScript:
@@ -517,21 +550,23 @@
     def __init__(self) -> None:
         self.fatal_runs = 0
 
-    async def __call__(self, conversation: Conversation) -> None:
+    async def __call__(self, connection: ScriptedConnection) -> None:
         while True:
-            request = await conversation.request()
+            request = await connection.read_request()
             if b'fatal' in request.split(b'\r\n', 1)[0]:
                 self.fatal_runs += 1
-                conversation.endpoint.stop()
+                connection.endpoint.stop()
                 return
             found = re.search(rb'x-request-id: (\S+)', request.lower())
-            await conversation.say(whole(b'ok', request_id=found.group(1) if found else b''))
+            await connection.send(
+                signed_ok_response(b'ok', request_id=found.group(1) if found else b'')
+            )
 
 
-async def send_repeatedly(entry: Entry, raw: bytes, count: int) -> list[int]:
+async def send_repeatedly(server: ForwardingServer, raw: bytes, count: int) -> list[int]:
     answers = []
     for _ in range(count):
-        answers.append(status_of(await entry.ask(raw)))
+        answers.append(status_of(await server.send_request(raw)))
         # Lets the check of the endpoint finish, for which the caller does not wait.
         await anyio.sleep(0.05)
     return answers
@@ -540,21 +575,21 @@
 @pytest.mark.parametrize(
     'fatal',
     [
-        get(b'/files/fatal'),
-        post(b'x', path=b'/notices/fatal'),
-        post(b'x' * 200_000, path=b'/notices/fatal'),
+        get_request(b'/files/fatal'),
+        post_request(b'x', path=b'/notices/fatal'),
+        post_request(b'x' * 200_000, path=b'/notices/fatal'),
     ],
     ids=['idempotent', 'non-idempotent', 'streamed'],
 )
 async def test_a_request_that_crashes_endpoints_is_quarantined(fatal: bytes) -> None:
     script = CrashingScript()
-    async with running_entry(*[script] * 8) as (entry, _):
-        answers = await send_repeatedly(entry, fatal, 12)
+    async with running_forwarding_server(*[script] * 8) as (server, _):
+        answers = await send_repeatedly(server, fatal, 12)
         assert script.fatal_runs <= 4
         assert answers[-6:] == [502] * 6
-        quarantined = await entry.ask(fatal)
+        quarantined = await server.send_request(fatal)
         assert b'retry-after' not in quarantined.lower()
-        assert status_of(await entry.ask(get(b'/files/2'))) == 200
+        assert status_of(await server.send_request(get_request(b'/files/2'))) == 200
 
 
 async def test_the_same_body_in_chunks_is_the_same_request() -> None:
@@ -563,58 +598,58 @@
         b'POST /notices/fatal HTTP/1.1\r\nHost: desk.example\r\nX-Request-Id: c\r\n'
         b'Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n'
     )
-    async with running_entry(*[script] * 8) as (entry, _):
-        await send_repeatedly(entry, post(b'x', path=b'/notices/fatal'), 2)
-        await send_repeatedly(entry, chunked, 1)
+    async with running_forwarding_server(*[script] * 8) as (server, _):
+        await send_repeatedly(server, post_request(b'x', path=b'/notices/fatal'), 2)
+        await send_repeatedly(server, chunked, 1)
         assert script.fatal_runs == 3
-        await send_repeatedly(entry, chunked, 2)
-        await send_repeatedly(entry, post(b'x', path=b'/notices/fatal'), 2)
+        await send_repeatedly(server, chunked, 2)
+        await send_repeatedly(server, post_request(b'x', path=b'/notices/fatal'), 2)
         assert script.fatal_runs == 3
 
 
 async def test_a_crash_during_a_streamed_response_counts_as_a_crash() -> None:
     runs = []
 
-    async def break_off(conversation: Conversation) -> None:
-        await conversation.request()
-        runs.append(conversation.endpoint)
-        await conversation.say(whole(b'x' * 300_000)[:200_000])
-        conversation.endpoint.stop()
+    async def break_off(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        runs.append(connection.endpoint)
+        await connection.send(signed_ok_response(b'x' * 300_000)[:200_000])
+        connection.endpoint.stop()
 
-    async with running_entry(*[break_off] * 8) as (entry, _):
-        await send_repeatedly(entry, get(), 8)
+    async with running_forwarding_server(*[break_off] * 8) as (server, _):
+        await send_repeatedly(server, get_request(), 8)
         assert len(runs) == 3
 
 
 @pytest.mark.parametrize('script', [refuse, close_at_once], ids=['refused', 'lost responses'])
 async def test_endpoints_that_stay_up_count_as_no_crash(
-    script: Callable[[Conversation], Awaitable[None]],
+    script: Callable[[ScriptedConnection], Awaitable[None]],
 ) -> None:
-    async with running_entry(*[script] * 4) as (entry, _):
-        await send_repeatedly(entry, post(b'x'), 8)
-        assert not entry.crashes
+    async with running_forwarding_server(*[script] * 4) as (server, _):
+        await send_repeatedly(server, post_request(b'x'), 8)
+        assert not server.crash_registry
 
 
 async def test_disconnects_and_timeouts_count_as_no_crash() -> None:
-    async def hang(conversation: Conversation) -> None:
-        await conversation.request()
+    async def hang(connection: ScriptedConnection) -> None:
+        await connection.read_request()
         await anyio.sleep_forever()
 
-    table = table_of(route(idempotent=True, prefix='/files/', timeout_s=0.1))
-    async with running_entry(*[hang] * 4, table=table) as (entry, _):
-        assert await send_repeatedly(entry, get(), 4) == [504] * 4
+    table = make_route_table(make_route(idempotent=True, prefix='/files/', timeout_s=0.1))
+    async with running_forwarding_server(*[hang] * 4, table=table) as (server, _):
+        assert await send_repeatedly(server, get_request(), 4) == [504] * 4
         for _ in range(4):
-            async with await entry.connect() as stream:
-                await stream.send(get())
+            async with await server.connect() as stream:
+                await stream.send(get_request())
                 await anyio.sleep(0.02)
-        assert not entry.crashes
+        assert not server.crash_registry
 
 
 async def test_a_caller_that_resets_at_once_does_not_end_the_instance() -> None:
-    async with running_entry(echo) as (entry, _):
-        host, _, port = entry.address.partition(':')
+    async with running_forwarding_server(echo) as (server, _):
+        host, _, port = server.address.partition(':')
         for _ in range(20):
             raw = socket.create_connection((host, int(port)))
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
             raw.close()
-        assert status_of(await entry.ask(get())) == 200
+        assert status_of(await server.send_request(get_request())) == 200
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -5,7 +5,7 @@
 import anyio
 import httpx
 import pytest
-from entry_fixtures import Conversation, RawEndpoint
+from entry_fixtures import ScriptedConnection, ScriptedEndpoint
 
 from plantainloft_core.outcomes import Refused, Served, Unknown
 from plantainloft_core.table_client import LostResponse, TableClient, TxnCommitted, TxnConflict
@@ -13,7 +13,7 @@
 from plantainloft_node.forwarding import Forwarder, Request
 from plantainloft_node.idempotency import IdempotencyStore, KeyClaim
 from plantainloft_node.loads import EndpointLoadTracker
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 from plantainloft_node.quarantine.quarantine import Quarantine
 from plantainloft_standins.faults import Faults
 from plantainloft_standins.quarantine_store import MemoryQuarantineStore
@@ -26,8 +26,8 @@
 
 
 @pytest.fixture
-async def batcher(client: TableClient) -> AsyncIterator[TxnBatcher]:
-    batcher = TxnBatcher(client=client, min_interval_s=0.01)
+async def batcher(table_client: TableClient) -> AsyncIterator[TxnBatcher]:
+    batcher = TxnBatcher(client=table_client, min_interval_s=0.01)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(batcher.run)
         yield batcher
@@ -35,8 +35,8 @@
 
 
 @pytest.fixture
-def idempotency_store(client: TableClient, batcher: TxnBatcher) -> IdempotencyStore:
-    return IdempotencyStore(client=client, batcher=batcher, node='n1')
+def idempotency_store(table_client: TableClient, batcher: TxnBatcher) -> IdempotencyStore:
+    return IdempotencyStore(client=table_client, batcher=batcher, node='n1')
 
 
 async def test_refused_request_may_be_claimed_again(idempotency_store: IdempotencyStore) -> None:
@@ -71,7 +71,7 @@
 
 
 async def test_delayed_claim_write_fails_after_a_refusal(
-    client: TableClient, idempotency_store: IdempotencyStore, table: TableService
+    table_client: TableClient, idempotency_store: IdempotencyStore, table: TableService
 ) -> None:
     """Failure: the key of a refused booking stays claimed, its outcome unknown.
 
@@ -80,7 +80,7 @@
     row before it refuses, so that the delayed write fails.
     """
     delayed: list[dict[str, dict[str, object]]] = []
-    original_commit = client.commit_transaction
+    original_commit = table_client.commit_transaction
 
     async def lose_first_response(
         **txn: dict[str, object],
@@ -90,7 +90,7 @@
             return LostResponse(reason='cut')
         return await original_commit(**txn)  # type: ignore[arg-type,return-value]
 
-    client.commit_transaction = lose_first_response  # type: ignore[assignment,method-assign]
+    table_client.commit_transaction = lose_first_response  # type: ignore[assignment,method-assign]
     assert isinstance(await idempotency_store.claim('booking', 'k1'), Refused)
     assert isinstance(await original_commit(**delayed[0]), TxnConflict)  # type: ignore[arg-type]
     assert isinstance(await idempotency_store.claim('booking', 'k1'), KeyClaim)
@@ -144,21 +144,21 @@
     its own. Only a 503 that states the endpoint's refusal proves that nothing ran.
     """
 
-    async def answer_unavailable(connection: Conversation) -> None:
-        await connection.request()
-        await connection.say(
+    async def answer_unavailable(connection: ScriptedConnection) -> None:
+        await connection.read_request()
+        await connection.send(
             b'HTTP/1.1 503 No\r\nContent-Length: %d\r\n\r\n' % len(answer) + answer
         )
 
-    endpoint = RawEndpoint(script=answer_unavailable)
+    endpoint = ScriptedEndpoint(script=answer_unavailable)
     async with httpx.AsyncClient() as http, anyio.create_task_group() as tasks:
         await tasks.start(lambda *, task_status: endpoint.run(task_status=task_status))
         loads = EndpointLoadTracker(http=http, poll_s=1)
         quarantine = Quarantine(
-            book=CrashBook(),
+            crash_registry=CrashRegistry(),
             store=MemoryQuarantineStore(),
-            is_alone=lambda: False,
-            spread=lambda: None,
+            has_no_live_peers=lambda: False,
+            broadcast=lambda: None,
         )
         forwarder = Forwarder(
             endpoint_selector=None,  # type: ignore[arg-type]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -21,13 +21,13 @@
 
 import anyio
 import pytest
-from platform_standin import SETTINGS, endpoint_row
+from platform_standin import SETTINGS_TEMPLATE, endpoint_document
 
 from plantainloft_core.outcomes import Invalid, Unreachable
-from plantainloft_node.entry.observing import Observation
+from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.peer_calls import PeerCalls
 from plantainloft_node.entry.settings import parse_entry_settings
-from plantainloft_node.entry.sharing import NEWS_CALL, NewsSharing
+from plantainloft_node.entry.sharing import ROWS_CALL, RowReplication
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
 from plantainloft_node.entry.terms import local_member
 from plantainloft_node.fleet.members import Beat, MemberBook
@@ -104,22 +104,22 @@
 
     store: ScriptedStore
     members: MemberBook
-    observation: Observation
-    sharing: NewsSharing
+    replicated_state: ReplicatedState
+    row_replication: RowReplication
 
     def is_using(self, endpoint_id: str) -> bool:
-        return endpoint_id in self.observation.endpoint_registry.by_id
+        return endpoint_id in self.replicated_state.endpoint_registry.by_id
 
     def has_deletion(self, endpoint_id: str) -> bool:
-        row = self.observation.rows.row_by_key.get((ENDPOINTS, endpoint_id))
+        row = self.replicated_state.rows.row_by_key.get((ENDPOINTS, endpoint_id))
         return row is not None and row.content is None
 
     def heartbeat(self) -> Beat:
-        return Beat(self.members.me, True, False, self.observation.rows.newest_by_table, {})
+        return Beat(self.members.me, True, False, self.replicated_state.rows.newest_by_table, {})
 
 
 def listed_row(key: str, version: int) -> NewsRow:
-    content = json.dumps(endpoint_row('127.0.0.1:1')).encode()
+    content = json.dumps(endpoint_document('127.0.0.1:1')).encode()
     return NewsRow(ENDPOINTS, key, version, content)
 
 
@@ -131,7 +131,7 @@
 REMOVAL = News((deleted_row('i-1', 3),), 3)
 
 
-async def until(probe: Callable[[], bool]) -> None:
+async def wait_until(probe: Callable[[], bool]) -> None:
     with anyio.fail_after(5):
         while not probe():
             await anyio.sleep(0.01)
@@ -140,24 +140,31 @@
 @asynccontextmanager
 async def running_instance(number: int) -> AsyncIterator[Instance]:
     host = f'127.0.9.{number}'
-    text = SETTINGS.format(name=f'e{number}', host=host, ports=(1, 2, 3, 4), store=host, seeds='')
+    text = SETTINGS_TEMPLATE.format(
+        name=f'e{number}', host=host, ports=(1, 2, 3, 4), store=host, seeds=''
+    )
     settings = parse_entry_settings(text)
     assert not isinstance(settings, Invalid)
     store = ScriptedStore()
     members = MemberBook(me=local_member(settings))
-    observation = Observation(
-        store=store, region_by_zone=settings.region_by_zone, wait_s=lambda: 4.0
+    replicated_state = ReplicatedState(
+        store=store, region_by_zone=settings.region_by_zone, long_poll_wait_s=lambda: 4.0
     )
     async with anyio.create_task_group() as tasks:
         calls = PeerCalls(settings=settings, tasks=tasks)
-        sharing = NewsSharing(calls=calls, members=members, observation=observation, tasks=tasks)
-        probes = StoreProbes(calls=calls, members=members, observation=observation)
-        tasks.start_soon(calls.serve, {NEWS_CALL: sharing.tell, PROBE_CALL: probes.tell})
-        for part in (*observation.followers.values(), probes):
+        row_replication = RowReplication(
+            calls=calls, members=members, replicated_state=replicated_state, tasks=tasks
+        )
+        probes = StoreProbes(calls=calls, members=members, replicated_state=replicated_state)
+        tasks.start_soon(
+            calls.serve,
+            {ROWS_CALL: row_replication.answer_rows_call, PROBE_CALL: probes.answer_probe_call},
+        )
+        for part in (*replicated_state.followers.values(), probes):
             tasks.start_soon(part.run)
         store.script(ENDPOINTS, INITIAL_LISTING)
-        await until(lambda: len(observation.endpoint_registry.by_id) == 2)
-        yield Instance(store, members, observation, sharing)
+        await wait_until(lambda: len(replicated_state.endpoint_registry.by_id) == 2)
+        yield Instance(store, members, replicated_state, row_replication)
         tasks.cancel_scope.cancel()
 
 
@@ -186,7 +193,7 @@
     """Fail the pending poll of endpoints, and wait until the next one is sent."""
     calls = instance.store.calls_by_table[ENDPOINTS]
     instance.store.script(ENDPOINTS, FAILED)
-    await until(lambda: instance.store.calls_by_table[ENDPOINTS] == calls + 1)
+    await wait_until(lambda: instance.store.calls_by_table[ENDPOINTS] == calls + 1)
 
 
 async def test_an_instance_without_the_store_trusts_a_peer_that_reaches_it(
@@ -202,9 +209,9 @@
     without_store, with_store = pair
     await fail_poll(without_store)
     with_store.store.script(ENDPOINTS, REMOVAL)
-    await until(lambda: not with_store.is_using('i-1'))
-    without_store.sharing.on_beat(with_store.heartbeat())
-    await until(lambda: without_store.has_deletion('i-1'))
+    await wait_until(lambda: not with_store.is_using('i-1'))
+    without_store.row_replication.on_heartbeat(with_store.heartbeat())
+    await wait_until(lambda: without_store.has_deletion('i-1'))
     assert not without_store.is_using('i-1')
     assert without_store.is_using('i-2')
 
@@ -220,10 +227,10 @@
     await fail_poll(without_store)
     for instance in pair:
         instance.store.script(ENDPOINTS, REMOVAL)
-        await until(lambda instance=instance: instance.has_deletion('i-1'))  # type: ignore[misc]
+        await wait_until(lambda instance=instance: instance.has_deletion('i-1'))  # type: ignore[misc]
     assert not with_store.is_using('i-1')
-    without_store.sharing.on_beat(with_store.heartbeat())
-    await until(lambda: not without_store.is_using('i-1'))
+    without_store.row_replication.on_heartbeat(with_store.heartbeat())
+    await wait_until(lambda: not without_store.is_using('i-1'))
 
 
 async def test_a_lost_poll_that_times_out_late_is_no_new_outage(pair: Pair) -> None:
@@ -235,13 +242,13 @@
     expired.
     """
     instance, _ = pair
-    await until(lambda: instance.store.calls_by_table[DECLARATIONS] == 1)
+    await wait_until(lambda: instance.store.calls_by_table[DECLARATIONS] == 1)
     await fail_poll(instance)
     await anyio.sleep(EXPIRY_GRACE_S + 0.1)
     instance.store.script(DECLARATIONS, FAILED)
-    await until(lambda: instance.store.calls_by_table[DECLARATIONS] == 2)
+    await wait_until(lambda: instance.store.calls_by_table[DECLARATIONS] == 2)
     instance.store.script(ENDPOINTS, REMOVAL)
-    await until(lambda: instance.has_deletion('i-1'))
+    await wait_until(lambda: instance.has_deletion('i-1'))
     assert not instance.is_using('i-1')
 
 
@@ -256,10 +263,10 @@
     for instance in pair:
         await fail_poll(instance)
         instance.store.script(ENDPOINTS, REMOVAL)
-        await until(lambda instance=instance: instance.has_deletion('i-1'))  # type: ignore[misc]
+        await wait_until(lambda instance=instance: instance.has_deletion('i-1'))  # type: ignore[misc]
     first, second = pair
-    first.sharing.on_beat(second.heartbeat())
-    second.sharing.on_beat(first.heartbeat())
+    first.row_replication.on_heartbeat(second.heartbeat())
+    second.row_replication.on_heartbeat(first.heartbeat())
     await anyio.sleep(0.8)
     assert first.is_using('i-1') and second.is_using('i-1')
 
@@ -277,11 +284,11 @@
         across = await stack.enter_async_context(running_instance(next(HOSTS)))
         await fail_poll(isolated)
         across.store.script(ENDPOINTS, REMOVAL)
-        await until(lambda: not across.is_using('i-1'))
+        await wait_until(lambda: not across.is_using('i-1'))
         exchange_heartbeats(isolated, across, for_s=0.0)
-        isolated.sharing.on_beat(across.heartbeat())
-        await until(lambda: isolated.has_deletion('i-1'))
-        isolated.sharing.on_beat(across.heartbeat())
+        isolated.row_replication.on_heartbeat(across.heartbeat())
+        await wait_until(lambda: isolated.has_deletion('i-1'))
+        isolated.row_replication.on_heartbeat(across.heartbeat())
         await anyio.sleep(0.8)
         assert isolated.is_using('i-1')
 
@@ -298,9 +305,9 @@
         instance.store.is_probe_failing = True
     await fail_poll(aware)
     aware.store.script(ENDPOINTS, REMOVAL)
-    await until(lambda: aware.has_deletion('i-1'))
-    unaware.sharing.on_beat(aware.heartbeat())
-    await until(lambda: unaware.has_deletion('i-1'))
+    await wait_until(lambda: aware.has_deletion('i-1'))
+    unaware.row_replication.on_heartbeat(aware.heartbeat())
+    await wait_until(lambda: unaware.has_deletion('i-1'))
     assert unaware.is_using('i-1') and aware.is_using('i-1')
 
 
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -6,7 +6,15 @@
 
 import anyio
 import pytest
-from entry_fixtures import Conversation, get, post, route, running_entry, table_of, whole
+from entry_fixtures import (
+    ScriptedConnection,
+    get_request,
+    make_route,
+    make_route_table,
+    post_request,
+    running_forwarding_server,
+    signed_ok_response,
+)
 
 from plantainloft_core.organisations import (
     Organisation,
@@ -22,9 +30,9 @@
 
 KEY = b'k-ankara-bar'
 KEY_HEADER = b'Api-Key: k-ankara-bar\r\n'
-FILES = route(idempotent=True, prefix='/files/')
-NOTICES = route(idempotent=False, prefix='/notices/')
-PUBLIC = route(idempotent=True, prefix='/help/', public=True)
+FILES = make_route(idempotent=True, prefix='/files/')
+NOTICES = make_route(idempotent=False, prefix='/notices/')
+PUBLIC = make_route(idempotent=True, prefix='/help/', public=True)
 
 
 def organisation_with_keys(
@@ -35,26 +43,26 @@
 
 
 def table_with_organisations(organisations: OrganisationIndex, *, version: int = 1) -> RouteTable:
-    return table_of(FILES, NOTICES, PUBLIC, version=version, organisations=organisations)
+    return make_route_table(FILES, NOTICES, PUBLIC, version=version, organisations=organisations)
 
 
-async def answer_all(conversation: Conversation) -> None:
+async def answer_every_request(connection: ScriptedConnection) -> None:
     while True:
-        await conversation.request()
-        await conversation.say(whole(b'ok'))
+        await connection.read_request()
+        await connection.send(signed_ok_response(b'ok'))
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize(
-    'more',
+    'extra_headers',
     [b'', b'Api-Key: k-other\r\n', b'Api-Key:\r\n', KEY_HEADER + KEY_HEADER],
     ids=['missing', 'unknown', 'empty', 'two'],
 )
-async def test_request_without_exactly_one_known_key_is_rejected(more: bytes) -> None:
-    async with running_entry(
-        answer_all, table=table_with_organisations(organisation_with_keys(KEY))
-    ) as (entry, endpoints):
-        answer = await entry.ask(get(more=more))
+async def test_request_without_exactly_one_known_key_is_rejected(extra_headers: bytes) -> None:
+    async with running_forwarding_server(
+        answer_every_request, table=table_with_organisations(organisation_with_keys(KEY))
+    ) as (server, endpoints):
+        answer = await server.send_request(get_request(extra_headers=extra_headers))
         assert answer.startswith(b'HTTP/1.1 401 ')
         assert endpoints[0].requests == []
 
@@ -62,10 +70,12 @@
 @pytest.mark.anyio
 async def test_endpoint_receives_the_organisation_but_not_the_key() -> None:
     forged = KEY_HEADER + b'X-Organisation: somebody-else\r\n'
-    async with running_entry(
-        answer_all, table=table_with_organisations(organisation_with_keys(KEY))
-    ) as (entry, endpoints):
-        assert (await entry.ask(get(more=forged))).startswith(b'HTTP/1.1 200 ')
+    async with running_forwarding_server(
+        answer_every_request, table=table_with_organisations(organisation_with_keys(KEY))
+    ) as (server, endpoints):
+        assert (await server.send_request(get_request(extra_headers=forged))).startswith(
+            b'HTTP/1.1 200 '
+        )
         sent = endpoints[0].requests[0].lower()
         assert sent.count(b'x-organisation:') == 1
         assert b'x-organisation: ankara-bar\r\n' in sent
@@ -75,10 +85,10 @@
 @pytest.mark.anyio
 async def test_public_route_requires_no_key_and_forwards_none() -> None:
     forged = KEY_HEADER + b'X-Organisation: somebody-else\r\n'
-    async with running_entry(
-        answer_all, table=table_with_organisations(organisation_with_keys(KEY))
-    ) as (entry, endpoints):
-        answer = await entry.ask(get(b'/help/1', more=forged))
+    async with running_forwarding_server(
+        answer_every_request, table=table_with_organisations(organisation_with_keys(KEY))
+    ) as (server, endpoints):
+        answer = await server.send_request(get_request(b'/help/1', extra_headers=forged))
         assert answer.startswith(b'HTTP/1.1 200 ')
         sent = endpoints[0].requests[0].lower()
         assert b'x-organisation' not in sent
@@ -88,12 +98,15 @@
 @pytest.mark.anyio
 async def test_removed_key_is_rejected_on_an_open_connection() -> None:
     tables = [table_with_organisations(organisation_with_keys(KEY))]
-    async with running_entry(answer_all, tables=tables) as (entry, endpoints):
-        async with await entry.connect() as stream:
-            await stream.send(get(more=KEY_HEADER))
+    async with running_forwarding_server(answer_every_request, tables=tables) as (
+        server,
+        endpoints,
+    ):
+        async with await server.connect() as stream:
+            await stream.send(get_request(extra_headers=KEY_HEADER))
             assert (await stream.receive()).startswith(b'HTTP/1.1 200 ')
             tables.append(table_with_organisations(organisation_with_keys(b'k-new'), version=2))
-            await stream.send(get(more=KEY_HEADER))
+            await stream.send(get_request(extra_headers=KEY_HEADER))
             assert (await stream.receive()).startswith(b'HTTP/1.1 401 ')
         assert len(endpoints[0].requests) == 1
 
@@ -103,16 +116,21 @@
     tables = [table_with_organisations(organisation_with_keys(KEY))]
     release = anyio.Event()
 
-    async def answer_after_release(conversation: Conversation) -> None:
+    async def answer_after_release(connection: ScriptedConnection) -> None:
         while True:
-            await conversation.request()
+            await connection.read_request()
             await release.wait()
-            await conversation.say(whole(b'ok'))
+            await connection.send(signed_ok_response(b'ok'))
 
-    async with running_entry(answer_after_release, tables=tables) as (entry, endpoints):
-        async with await entry.connect() as stream:
-            post_with_key = post(b'x').replace(b'\r\n\r\n', b'\r\n' + KEY_HEADER + b'\r\n', 1)
-            await stream.send(get(more=KEY_HEADER) + post_with_key)
+    async with running_forwarding_server(answer_after_release, tables=tables) as (
+        server,
+        endpoints,
+    ):
+        async with await server.connect() as stream:
+            post_with_key = post_request(b'x').replace(
+                b'\r\n\r\n', b'\r\n' + KEY_HEADER + b'\r\n', 1
+            )
+            await stream.send(get_request(extra_headers=KEY_HEADER) + post_with_key)
             while not endpoints[0].requests:
                 await anyio.sleep(0.01)
             tables.append(table_with_organisations(organisation_with_keys(b'k-new'), version=2))
@@ -127,11 +145,11 @@
 @pytest.mark.anyio
 async def test_keys_are_not_logged(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.DEBUG)
-    async with running_entry(
-        answer_all, table=table_with_organisations(organisation_with_keys(KEY))
-    ) as (entry, _):
-        await entry.ask(get(more=KEY_HEADER))
-        await entry.ask(get(more=b'Api-Key: k-other\r\n'))
+    async with running_forwarding_server(
+        answer_every_request, table=table_with_organisations(organisation_with_keys(KEY))
+    ) as (server, _):
+        await server.send_request(get_request(extra_headers=KEY_HEADER))
+        await server.send_request(get_request(extra_headers=b'Api-Key: k-other\r\n'))
     log_records = [str(record.__dict__) for record in caplog.records]
     assert any('unauthorised' in line for line in log_records)
     assert not [line for line in log_records if 'k-other' in line or 'k-ankara-bar' in line]
@@ -159,11 +177,13 @@
 @pytest.mark.parametrize(('region', 'status'), [('ankara', b'200'), ('izmir', b'503')])
 async def test_organisation_is_served_in_its_regions_only(region: str, status: bytes) -> None:
     organisations = organisation_with_keys(KEY, regions=frozenset((region,)))
-    async with running_entry(answer_all, table=table_with_organisations(organisations)) as (
-        entry,
+    async with running_forwarding_server(
+        answer_every_request, table=table_with_organisations(organisations)
+    ) as (
+        server,
         endpoints,
     ):
-        answer = await entry.ask(get(more=KEY_HEADER))
+        answer = await server.send_request(get_request(extra_headers=KEY_HEADER))
         assert answer.startswith(b'HTTP/1.1 ' + status)
         assert len(endpoints[0].requests) == (status == b'200')
 
--- a/tests/test_own_organisations.py
+++ b/tests/test_own_organisations.py
@@ -20,7 +20,7 @@
 from plantainloft_core.steering import Choice
 from plantainloft_core.table_client import TableClient
 from plantainloft_ctl.commands.organisations import Organisations
-from plantainloft_ctl.organisations import organisation_rows
+from plantainloft_ctl.organisations import aggregate_organisations
 from plantainloft_ctl.plot import plot_organisations
 from plantainloft_node.deciding import EndpointSelector, NearestZoneSelector, TrafficSplitSelector
 from plantainloft_node.loads import EndpointLoadTracker
@@ -145,7 +145,7 @@
         'wanted': 4,
         'refused': 3,
     }
-    rows = organisation_rows({'e1': [entry], 'e2': [{**entry, 'used': 2}]})
+    rows = aggregate_organisations({'e1': [entry], 'e2': [{**entry, 'used': 2}]})
     assert (rows[0].used, rows[0].refused) == (3, 6)
     plot_organisations(rows, tmp_path / 'uses.png')
     assert (tmp_path / 'uses.png').read_bytes().startswith(b'\x89PNG')
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,7 +1,7 @@
 """Silent endpoints are distinguished from busy ones by the service's answer times."""
 
 import pytest
-from entry_fixtures import SERVICE, route, table_of
+from entry_fixtures import SERVICE, make_route, make_route_table
 
 from plantainloft_core.outcomes import Invalid
 from plantainloft_node.placing.endpoints import EndpointRegistry
@@ -57,16 +57,16 @@
 
 
 def test_the_longest_route_timeout_of_a_service_applies() -> None:
-    table = table_of(
-        route(idempotent=True, prefix='/a/', timeout_s=1.5),
-        route(idempotent=False, prefix='/b/', timeout_s=2.5),
+    table = make_route_table(
+        make_route(idempotent=True, prefix='/a/', timeout_s=1.5),
+        make_route(idempotent=False, prefix='/b/', timeout_s=2.5),
     )
     assert longest_timeout_by_service(table) == {SERVICE: 2.5}
 
 
 def test_a_declared_timeout_reaches_the_endpoints_health() -> None:
     endpoint_registry = EndpointRegistry(region_by_zone={})
-    table = table_of(route(idempotent=True, prefix='/a/', timeout_s=4.0))
+    table = make_route_table(make_route(idempotent=True, prefix='/a/', timeout_s=4.0))
 
     def decode(row: NewsRow) -> RoutesDeclared | EndpointListed | Invalid | None:
         return RoutesDeclared(table=table)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -3,7 +3,7 @@
 import itertools
 
 import pytest
-from entry_fixtures import SERVICE, route
+from entry_fixtures import SERVICE, make_route
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -25,7 +25,7 @@
 SERVICE_LIMITS = ServiceLimits(
     name=SERVICE, health_path='/health', max_connections=100, warmup_s=3.0, cold_requests_per_s=11.0
 )
-ROUTE = route(idempotent=True, prefix='/files/')
+ROUTE = make_route(idempotent=True, prefix='/files/')
 
 
 def record(endpoint_id: str, *, zone: str = 'a', cold_s: float = 0.0) -> EndpointRecord:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,20 +5,20 @@
 
 import anyio
 import pytest
-from entry_fixtures import Conversation, RawEndpoint
+from entry_fixtures import ScriptedConnection, ScriptedEndpoint
 from platform_standin import (
     ENDPOINT_TABLE,
-    OPERATOR,
-    SIGNED,
+    OPERATOR_TABLE,
+    SIGNED_OK_RESPONSE,
     EntryDeployment,
-    call,
-    config,
-    endpoint_row,
-    followed,
-    named,
+    count_resolved_addresses,
+    endpoint_document,
+    follows_declarations,
+    http_get,
+    make_configuration,
+    requests_per_endpoint,
     running_store,
-    served_by,
-    until,
+    wait_until_equal,
 )
 
 from plantainloft_core.outcomes import Invalid, Unreachable
@@ -46,14 +46,16 @@
 
 
 def test_rows_are_decoded_into_changes() -> None:
-    declared = decode_row(row('config', config(7)))
+    declared = decode_row(row('config', make_configuration(7)))
     assert isinstance(declared, RoutesDeclared)
     route = declared.table.find_route('desk.example', '/notices/4')
     assert route is not None and not route.idempotent and route.timeout_s == 1.5
     assert declared.table.services_by_name['desk'].cold_requests_per_s == 11.0
     assert decode_row(row('evacuate/ank-a', {})) == ZoneEvacuation(zone='ank-a', evacuated=True)
     assert decode_row(row('evacuate/ank-a', None)) == ZoneEvacuation(zone='ank-a', evacuated=False)
-    listed = decode_row(row('i-1', endpoint_row('10.0.0.1:80', state='draining'), table=ENDPOINTS))
+    listed = decode_row(
+        row('i-1', endpoint_document('10.0.0.1:80', state='draining'), table=ENDPOINTS)
+    )
     assert isinstance(listed, EndpointListed) and listed.record.draining
     assert decode_row(row('i-1', None, table=ENDPOINTS)) == EndpointGone(endpoint_id='i-1')
 
@@ -67,7 +69,7 @@
     async with running_store() as (standin, tasks):
         store = PlatformStore(address=standin.address)
         for number in range(3):
-            standin.put(ENDPOINT_TABLE, f'i-{number}', endpoint_row('10.0.0.1:80'))
+            standin.put(ENDPOINT_TABLE, f'i-{number}', endpoint_document('10.0.0.1:80'))
         listed = await store.list_rows(ENDPOINTS)
         assert isinstance(listed, News) and len(listed.rows) == 3
 
@@ -84,23 +86,25 @@
 async def test_store_failures_are_returned_as_outcomes() -> None:
     async with running_store() as (standin, _):
         store = PlatformStore(address=standin.address)
-        standin.forgotten = 5
+        standin.oldest_history_version = 5
         assert isinstance(await store.changes(ENDPOINTS, after=1, wait_s=0.1), HistoryLost)
-        standin.refusing = True
+        standin.is_unavailable = True
         rejected = await store.list_rows(ENDPOINTS)
         assert isinstance(rejected, Unreachable) and rejected.reason == '503'
-        standin.refusing = False
-        standin.silent = True
+        standin.is_unavailable = False
+        standin.is_unresponsive = True
         assert isinstance(await store.changes(ENDPOINTS, after=9, wait_s=0.1), Unreachable)
     assert isinstance(await store.list_rows(ENDPOINTS), Unreachable)
 
 
-async def test_a_request_is_served_end_to_end(deployment: EntryDeployment) -> None:
-    entry = deployment.entries[0]
-    answer = await call(entry.front, '/files/1', more='X-Plantainloft-Request-Id: r\r\n')
+async def test_a_request_is_served_end_to_end(entry_deployment: EntryDeployment) -> None:
+    entry = entry_deployment.entry_processes[0]
+    answer = await http_get(
+        entry.caller_address, '/files/1', extra_headers='X-Plantainloft-Request-Id: r\r\n'
+    )
     assert answer.startswith(b'HTTP/1.1 200') and answer.endswith(b'ok')
-    await until(lambda: named(entry), 2)
-    metrics = await call(entry.metrics, '/metrics')
+    await wait_until_equal(lambda: count_resolved_addresses(entry), 2)
+    metrics = await http_get(entry.metrics_address, '/metrics')
     assert b'plantainloft_requests{outcome="answered",route="files"} 1' in metrics
     assert b'plantainloft_configuration_version 3' in metrics
     assert b'plantainloft_spilled_share 0' in metrics
@@ -108,81 +112,87 @@
 
 
 async def test_an_instance_refused_by_the_store_gets_the_configuration_from_its_peers(
-    deployment: EntryDeployment,
+    entry_deployment: EntryDeployment,
 ) -> None:
     """Guards against one instance routing by an outdated configuration.
 
     The store refuses that instance but serves the others. Their heartbeats
     announce newer rows, which it then fetches from them.
     """
-    first, second = deployment.entries
-    await until(lambda: named(second), 2)
-    deployment.doors[0].refuse()
-    await until(lambda: followed(first), False)
-    deployment.store.put(OPERATOR, 'config', config(4, service='other'))
-    await until(lambda: served_by(deployment, second), (0, 1))
-    await until(lambda: served_by(deployment, first), (0, 1))
-    assert not await followed(first)
+    first, second = entry_deployment.entry_processes
+    await wait_until_equal(lambda: count_resolved_addresses(second), 2)
+    entry_deployment.store_proxies[0].start_refusing()
+    await wait_until_equal(lambda: follows_declarations(first), False)
+    entry_deployment.store.put(OPERATOR_TABLE, 'config', make_configuration(4, service='other'))
+    await wait_until_equal(lambda: requests_per_endpoint(entry_deployment, second), (0, 1))
+    await wait_until_equal(lambda: requests_per_endpoint(entry_deployment, first), (0, 1))
+    assert not await follows_declarations(first)
 
 
 async def test_an_instance_started_during_a_store_outage_loads_rows_from_its_peers(
-    deployment: EntryDeployment,
+    entry_deployment: EntryDeployment,
 ) -> None:
-    first, second = deployment.entries
-    await until(lambda: named(first), 2)
-    deployment.store.refusing = True
+    first, second = entry_deployment.entry_processes
+    await wait_until_equal(lambda: count_resolved_addresses(first), 2)
+    entry_deployment.store.is_unavailable = True
     second.kill()
     second._log = second.log_path.open('wb')
     second.start()
-    await second.until_ready()
-    assert await served_by(deployment, second) == (1, 0)
+    await second.wait_until_ready()
+    assert await requests_per_endpoint(entry_deployment, second) == (1, 0)
 
 
 async def test_a_graceful_stop_finishes_requests_and_removes_the_address(
-    deployment: EntryDeployment,
+    entry_deployment: EntryDeployment,
 ) -> None:
-    first, second = deployment.entries
-    await until(lambda: named(first), 2)
+    first, second = entry_deployment.entry_processes
+    await wait_until_equal(lambda: count_resolved_addresses(first), 2)
 
-    async def answer_slowly(connection: Conversation) -> None:
-        await connection.request()
+    async def answer_slowly(connection: ScriptedConnection) -> None:
+        await connection.read_request()
         await anyio.sleep(0.8)
-        await connection.say(SIGNED)
+        await connection.send(SIGNED_OK_RESPONSE)
 
-    deployment.endpoints[0].script = answer_slowly
+    entry_deployment.endpoints[0].script = answer_slowly
     answers: list[bytes] = []
 
     async def send_request() -> None:
-        answers.append(await call(second.front, '/notices/1'))
+        answers.append(await http_get(second.caller_address, '/notices/1'))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(send_request)
-        await until(lambda: _request_count(deployment.endpoints[0]), 1)
+        await wait_until_equal(lambda: _request_count(entry_deployment.endpoints[0]), 1)
         second.signal(signal.SIGTERM)
-        await until(lambda: second.status_of(second.ready, '/v1/ready'), 503)
-        await until(lambda: named(first), 1)
+        await wait_until_equal(
+            lambda: second.get_status(second.readiness_address, '/v1/ready'), 503
+        )
+        await wait_until_equal(lambda: count_resolved_addresses(first), 1)
     assert answers[0].startswith(b'HTTP/1.1 200')
-    assert await second.ended() == 0
-    assert second.lines()[-1]['message'] == 'Entry: stopped.'
+    assert await second.wait_for_exit() == 0
+    assert second.log_records()[-1]['message'] == 'Entry: stopped.'
 
 
-async def _request_count(endpoint: RawEndpoint) -> int:
+async def _request_count(endpoint: ScriptedEndpoint) -> int:
     return len(endpoint.requests)
 
 
-async def test_invalid_settings_keep_the_previous_ones_active(deployment: EntryDeployment) -> None:
-    entry = deployment.entries[0]
-    text = entry.settings.read_text()
-    entry.settings.write_text(text.replace('grace = 3s', 'grace = soon\nretries = 4'))
+async def test_invalid_settings_keep_the_previous_ones_active(
+    entry_deployment: EntryDeployment,
+) -> None:
+    entry = entry_deployment.entry_processes[0]
+    text = entry.settings_path.read_text()
+    entry.settings_path.write_text(text.replace('grace = 3s', 'grace = soon\nretries = 4'))
     entry.signal(signal.SIGHUP)
 
     async def reload_messages() -> list[str]:
-        return [line['message'] for line in entry.lines() if line['kind'] == 'reload']
+        return [line['message'] for line in entry.log_records() if line['kind'] == 'reload']
 
-    await until(reload_messages, ['Entry: settings not reloaded.'])
-    problems = next(line for line in entry.lines() if line['kind'] == 'reload')['problems']
+    await wait_until_equal(reload_messages, ['Entry: settings not reloaded.'])
+    problems = next(line for line in entry.log_records() if line['kind'] == 'reload')['problems']
     assert len(problems) == 2
-    assert await entry.status_of(entry.ready, '/v1/ready') == 200
-    entry.settings.write_text(text)
+    assert await entry.get_status(entry.readiness_address, '/v1/ready') == 200
+    entry.settings_path.write_text(text)
     entry.signal(signal.SIGHUP)
-    await until(reload_messages, ['Entry: settings not reloaded.', 'Entry: settings reloaded.'])
+    await wait_until_equal(
+        reload_messages, ['Entry: settings not reloaded.', 'Entry: settings reloaded.']
+    )
--- a/tests/test_polling.py
+++ b/tests/test_polling.py
@@ -5,7 +5,7 @@
 from plantainloft_node.fleet.members import Beat, FleetMember, MemberBook
 from plantainloft_node.replica.follower import BACKOFF_MIN_S
 from plantainloft_node.replica.news import ENDPOINTS
-from plantainloft_platform.store import CALL_S
+from plantainloft_platform.store import CALL_TIMEOUT_S
 
 NOW = 1000.0
 # From this long after an outage, an endpoint must get no more requests this long
@@ -37,7 +37,7 @@
     endpoint left 4 s after the store had recovered, and no peer had newer rows.
     Found by release-in-a-store-outage, seed 952143954020.
     """
-    longest_lost_poll_s = SHORT_WAIT_S + CALL_S + 2 * BACKOFF_MIN_S
+    longest_lost_poll_s = SHORT_WAIT_S + CALL_TIMEOUT_S + 2 * BACKOFF_MIN_S
     assert (
         longest_lost_poll_s + POLL_PAUSE_S_BY_TABLE[ENDPOINTS] <= RECOVERY_S + MAX_DEPARTURE_DELAY_S
     )
--- a/tests/test_region_loss.py
+++ b/tests/test_region_loss.py
@@ -19,7 +19,7 @@
 
 
 def test_lost_region_moves_within_the_cap_and_refuses_the_rest_at_once(
-    tiny: Cluster, snapshot: SnapshotAssertion
+    tiny_deployment: Cluster, snapshot: SnapshotAssertion
 ) -> None:
     """Symptom: when a region is lost, all its traffic moves to the cold caches of
     others, or its requests hang until their deadline.
@@ -31,10 +31,10 @@
     The limit is checked per window of the cap: on a busy machine the requests take
     longer than one window, and more may move in the next.
     """
-    url = f'{tiny.entries_by_name[ENTRY]}/v1/forward/case-desk/item'
+    url = f'{tiny_deployment.entries_by_name[ENTRY]}/v1/forward/case-desk/item'
     for name in LOST:
-        tiny.processes.signal(name, signal.SIGKILL)
-        tiny.processes.by_name[name].wait()
+        tiny_deployment.processes.signal(name, signal.SIGKILL)
+        tiny_deployment.processes.by_name[name].wait()
     outcomes: collections.Counter[str] = collections.Counter()
     refusals = []
     served_by_window: collections.Counter[int] = collections.Counter()
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -14,7 +14,7 @@
 from plantainloft_node.fleet.ranking import relays_in
 from plantainloft_node.fleet.report_codec import pack_report
 from plantainloft_node.fleet.reports import ZoneReport
-from plantainloft_node.quarantine.crash_book import CrashBook
+from plantainloft_node.quarantine.crash_book import CrashRegistry
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
 from plantainloft_standins.fleet_model import FleetModel, FleetShape
 
@@ -58,7 +58,7 @@
         for instance in model.instance_by_name.values():
             for number in range(40):
                 request = RequestFingerprint(b'%012d' % number, b'c' * 8)
-                instance.crashes.note_crash(request, f'i{model.now}', model.now)
+                instance.crash_registry.record_crash(request, f'i{model.now}', model.now)
             messages = instance.relaying.round(model.now, to_all=True)
             sizes += [len(message.packed) for message in messages]
     assert max(sizes) <= MAX_PACKET_BYTES
@@ -317,14 +317,14 @@
 )
 def test_a_malformed_datagram_is_ignored(packed: bytes) -> None:
     book = MemberBook(me=member('e1'))
-    intake = Intake(members=book, crashes=CrashBook())
+    intake = Intake(members=book, crash_registry=CrashRegistry())
     assert intake.take(packed, 'e2', 1.0) is None
     assert book.everyone() == []
 
 
 def test_a_datagram_with_a_forged_sender_is_ignored() -> None:
     book = MemberBook(me=member('e1'))
-    intake = Intake(members=book, crashes=CrashBook())
+    intake = Intake(members=book, crash_registry=CrashRegistry())
     intake.take(datagram('e2', leaving=True), 'stranger', 1.0)
     assert book.everyone() == []
     intake.take(datagram('e2'), 'e2', 1.0)
@@ -334,7 +334,7 @@
 
 def test_a_duplicate_datagram_does_not_prolong_liveness() -> None:
     book = MemberBook(me=member('e1'))
-    intake = Intake(members=book, crashes=CrashBook())
+    intake = Intake(members=book, crash_registry=CrashRegistry())
     packed = datagram('e2', number=5)
     intake.take(packed, 'e2', 1.0)
     intake.take(packed, 'e2', 2.5)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -57,7 +57,7 @@
 
 
 @pytest.fixture
-def beliefs(endpoint_registry: EndpointRegistry) -> Beliefs:
+def routing_state(endpoint_registry: EndpointRegistry) -> Beliefs:
     return Beliefs(endpoint_registry=endpoint_registry, decode=decode)
 
 
@@ -94,33 +94,33 @@
 
 
 def test_an_endpoint_whose_row_expired_in_an_outage_stays_in_use(
-    beliefs: Beliefs, endpoint_registry: EndpointRegistry
+    routing_state: Beliefs, endpoint_registry: EndpointRegistry
 ) -> None:
     """Guards against losing all endpoints after an outage of the store.
 
     Endpoints cannot renew their rows during the outage. The rows expire although
     the endpoints are running, and are back about two seconds after it.
     """
-    beliefs.take([row('i1', 1), row('i2', 2)], NOW, source='store')
-    beliefs.store.note_failed(due_at=NOW)
-    beliefs.take([row('i1', 3, None), row('i2', 4, None)], NOW + 1, source='store')
-    beliefs.take([row('i1', 5)], NOW + 2, source='store')
-    beliefs.tick(NOW + 1 + LAPSE_GRACE_S)
+    routing_state.take([row('i1', 1), row('i2', 2)], NOW, source='store')
+    routing_state.store.note_failed(due_at=NOW)
+    routing_state.take([row('i1', 3, None), row('i2', 4, None)], NOW + 1, source='store')
+    routing_state.take([row('i1', 5)], NOW + 2, source='store')
+    routing_state.tick(NOW + 1 + LAPSE_GRACE_S)
     assert set(endpoint_registry.by_id) == {'i1'}
 
 
 def test_an_endpoint_that_left_is_dropped_at_once(
-    beliefs: Beliefs, endpoint_registry: EndpointRegistry
+    routing_state: Beliefs, endpoint_registry: EndpointRegistry
 ) -> None:
-    beliefs.take([row('i1', 1), row('i2', 2)], NOW, source='store')
-    beliefs.take([row('i1', 3, None)], NOW, source='store')
-    beliefs.store.note_failed(due_at=NOW)
-    beliefs.take([row('i2', 4, b'draining'), row('i2', 5, None)], NOW + 1, source='store')
+    routing_state.take([row('i1', 1), row('i2', 2)], NOW, source='store')
+    routing_state.take([row('i1', 3, None)], NOW, source='store')
+    routing_state.store.note_failed(due_at=NOW)
+    routing_state.take([row('i2', 4, b'draining'), row('i2', 5, None)], NOW + 1, source='store')
     assert not endpoint_registry.by_id
 
 
 def test_an_unreadable_row_replaces_a_valid_one(
-    beliefs: Beliefs, endpoint_registry: EndpointRegistry
+    routing_state: Beliefs, endpoint_registry: EndpointRegistry
 ) -> None:
     """Guards against using an endpoint whose row no longer describes it.
 
@@ -128,39 +128,39 @@
     ignored, the last valid one stays in force. This also applies during a store
     outage, when rows expire on their own.
     """
-    beliefs.take([row('i1', 1), row('i2', 2), row('i3', 3)], NOW, source='store')
-    beliefs.store.note_failed(due_at=NOW)
-    beliefs.take([row('i1', 4, b'unreadable'), row('i3', 5)], NOW, source='store')
+    routing_state.take([row('i1', 1), row('i2', 2), row('i3', 3)], NOW, source='store')
+    routing_state.store.note_failed(due_at=NOW)
+    routing_state.take([row('i1', 4, b'unreadable'), row('i3', 5)], NOW, source='store')
     assert set(endpoint_registry.by_id) == {'i2', 'i3'}
-    beliefs.take([row('i1', 6)], NOW, source='store')
+    routing_state.take([row('i1', 6)], NOW, source='store')
     assert set(endpoint_registry.by_id) == {'i1', 'i2', 'i3'}
 
 
 def test_a_restarted_endpoint_does_not_inherit_the_state_of_its_id(
-    beliefs: Beliefs, endpoint_registry: EndpointRegistry
+    routing_state: Beliefs, endpoint_registry: EndpointRegistry
 ) -> None:
     """Guards against a cold endpoint that gets its full share and crashes.
 
     If it inherits the state of its predecessor, it counts as warm, at times as
     ejected or slow, and with requests in flight that ended with the predecessor.
     """
-    beliefs.take([row('i1', 1, b'born 1000')], NOW, source='store')
+    routing_state.take([row('i1', 1, b'born 1000')], NOW, source='store')
     before = endpoint_registry.by_id['i1']
     before.in_flight = 3
     before.health.record_unreachable(NOW + 60)
-    beliefs.take([row('i1', 2, b'born 1000')], NOW + 60, source='store')
+    routing_state.take([row('i1', 2, b'born 1000')], NOW + 60, source='store')
     assert endpoint_registry.by_id['i1'] is before
-    beliefs.take([row('i1', 3, b'born 2000')], NOW + 61, source='store')
+    routing_state.take([row('i1', 3, b'born 2000')], NOW + 61, source='store')
     after = endpoint_registry.by_id['i1']
     assert after.record.incarnation != before.record.incarnation
     assert after.is_cold(NOW + 62) and after.health.is_usable(NOW + 62)
     assert after.in_flight == 0 and not after.is_slow(NOW + 62)
 
 
-def test_a_configuration_is_never_replaced_by_an_older_one(beliefs: Beliefs) -> None:
+def test_a_configuration_is_never_replaced_by_an_older_one(routing_state: Beliefs) -> None:
     news = [NewsRow(DECLARATIONS, 'config', number, b'%d' % number) for number in (2, 1)]
-    beliefs.take(news, NOW, source='store')
-    assert beliefs.table.version == 2
+    routing_state.take(news, NOW, source='store')
+    assert routing_state.table.version == 2
 
 
 def test_the_number_of_tombstones_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -3,14 +3,14 @@
 import anyio
 import msgpack
 import pytest
-from platform_standin import SETTINGS, running_store
+from platform_standin import SETTINGS_TEMPLATE, running_store
 
 from plantainloft_core.outcomes import Invalid
 from plantainloft_node.entry.instance_list import InstanceRegistry
-from plantainloft_node.entry.observing import Observation
+from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.peer_calls import PeerCalls
 from plantainloft_node.entry.settings import EntrySettings, parse_entry_settings
-from plantainloft_node.entry.sharing import NewsSharing
+from plantainloft_node.entry.sharing import RowReplication
 from plantainloft_node.entry.terms import local_member
 from plantainloft_node.fleet.members import GONE_AFTER_S, Beat, FleetMember, MemberBook
 from plantainloft_node.placing.affinity import rendezvous_score
@@ -27,7 +27,9 @@
 
 def entry_settings(store: str) -> EntrySettings:
     ports = (7901, 7902, 7903, 7904)
-    text = SETTINGS.format(name='e1', host='127.0.9.77', ports=ports, store=store, seeds='')
+    text = SETTINGS_TEMPLATE.format(
+        name='e1', host='127.0.9.77', ports=ports, store=store, seeds=''
+    )
     settings = parse_entry_settings(text)
     assert not isinstance(settings, Invalid)
     return settings
@@ -63,19 +65,19 @@
     monkeypatch.setattr(PeerConnections, 'call', malformed_answer)
     async with running_store() as (standin, tasks):
         settings = entry_settings(standin.address)
-        observation = Observation(
+        replicated_state = ReplicatedState(
             store=PlatformStore(address=standin.address),
             region_by_zone=settings.region_by_zone,
-            wait_s=lambda: 4.0,
-            rests=lambda: delegates,
+            long_poll_wait_s=lambda: 4.0,
+            delegates_polling=lambda: delegates,
         )
-        sharing = NewsSharing(
+        row_replication = RowReplication(
             calls=PeerCalls(settings=settings, tasks=tasks),
             members=MemberBook(me=local_member(settings)),
-            observation=observation,
+            replicated_state=replicated_state,
             tasks=tasks,
         )
-        sharing.on_beat(Beat(member('e2'), True, False, {'endpoints': 9}, {}))
+        row_replication.on_heartbeat(Beat(member('e2'), True, False, {'endpoints': 9}, {}))
         with anyio.fail_after(5):
             while not any(getattr(line, 'kind', '') == 'bad_news' for line in caplog.records):
                 await anyio.sleep(0.05)
--- a/tests/test_shifting.py
+++ b/tests/test_shifting.py
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.anyio
-async def test_drain_in_many_small_patches_is_limited_by_the_cap(client: TableClient) -> None:
+async def test_drain_in_many_small_patches_is_limited_by_the_cap(table_client: TableClient) -> None:
     """Guards against draining a region in many small patches within a second.
 
     Each patch displaces less than the cap, but all of them together displace
@@ -114,7 +114,7 @@
     for base_version, patch in enumerate(patches):
         outcomes.append(
             await commit_patch(
-                client,
+                table_client,
                 base_version=base_version,
                 patch=patch,
                 author='t',
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -4,15 +4,21 @@
 
 import anyio
 import pytest
-from entry_fixtures import Conversation
-from platform_standin import SIGNED, EntryDeployment, call, named, until
+from entry_fixtures import ScriptedConnection
+from platform_standin import (
+    SIGNED_OK_RESPONSE,
+    EntryDeployment,
+    count_resolved_addresses,
+    http_get,
+    wait_until_equal,
+)
 
 pytestmark = pytest.mark.anyio
 
 
 @pytest.mark.parametrize('second_signal', [signal.SIGTERM, signal.SIGHUP])
 async def test_another_signal_during_shutdown_interrupts_no_request(
-    deployment: EntryDeployment, second_signal: signal.Signals
+    entry_deployment: EntryDeployment, second_signal: signal.Signals
 ) -> None:
     """Regression test: connections were closed without a response during shutdown.
 
@@ -20,53 +26,55 @@
     again, or SIGHUP because the settings changed. The signal handlers had been
     removed when shutdown started, so either signal ended the process at once.
     """
-    first, stopping = deployment.entries
-    await until(lambda: named(first), 2)
+    first, stopping = entry_deployment.entry_processes
+    await wait_until_equal(lambda: count_resolved_addresses(first), 2)
     answers: list[bytes] = []
 
-    async def answer_slowly(conversation: Conversation) -> None:
-        await conversation.request()
+    async def answer_slowly(connection: ScriptedConnection) -> None:
+        await connection.read_request()
         await anyio.sleep(1.0)
-        await conversation.say(SIGNED)
+        await connection.send(SIGNED_OK_RESPONSE)
 
     async def send_request() -> None:
-        answers.append(await call(stopping.front, '/notices/1'))
+        answers.append(await http_get(stopping.caller_address, '/notices/1'))
 
     async def requests_received() -> int:
-        return len(deployment.endpoints[0].requests)
+        return len(entry_deployment.endpoints[0].requests)
 
-    deployment.endpoints[0].script = answer_slowly
+    entry_deployment.endpoints[0].script = answer_slowly
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(send_request)
-        await until(requests_received, 1)
+        await wait_until_equal(requests_received, 1)
         stopping.signal(signal.SIGTERM)
-        await until(lambda: stopping.status_of(stopping.ready, '/v1/ready'), 503)
+        await wait_until_equal(
+            lambda: stopping.get_status(stopping.readiness_address, '/v1/ready'), 503
+        )
         stopping.signal(second_signal)
     assert answers[0].startswith(b'HTTP/1.1 200')
-    assert await stopping.ended() == 0
+    assert await stopping.wait_for_exit() == 0
 
 
 async def test_a_reload_signal_during_startup_does_not_end_the_process(
-    deployment: EntryDeployment,
+    entry_deployment: EntryDeployment,
 ) -> None:
     """Regression test: a process ended right after its start.
 
     The settings change while the instance starts. Until its handler was
     installed, SIGHUP had its default effect, which ends the process.
     """
-    entry = deployment.entries[0]
+    entry = entry_deployment.entry_processes[0]
     entry.kill()
     entry._log = entry.log_path.open('wb')
     entry.start()
 
     async def blocks_reload_signal() -> bool:
-        return entry.blocks(signal.SIGHUP)
+        return entry.blocks_signal(signal.SIGHUP)
 
-    await until(blocks_reload_signal, True)
-    assert not entry.lines()
+    await wait_until_equal(blocks_reload_signal, True)
+    assert not entry.log_records()
     for _ in range(20):
         entry.signal(signal.SIGHUP)
         await anyio.sleep(0.02)
-    await entry.until_ready()
-    kinds = [line['kind'] for line in entry.lines()]
+    await entry.wait_until_ready()
+    kinds = [line['kind'] for line in entry.log_records()]
     assert kinds.index('start') < kinds.index('reload')
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -26,7 +26,7 @@
 
 
 async def test_concurrent_commits_against_one_version_commit_once(
-    client: TableClient,
+    table_client: TableClient,
 ) -> None:
     """Guards against two patches against the same version that both apply.
 
@@ -34,14 +34,14 @@
     if the version were read and then written without a condition.
     """
     assert await commit_patch(
-        client, base_version=0, patch=ADD_REGION, author='a', change_id='c0'
+        table_client, base_version=0, patch=ADD_REGION, author='a', change_id='c0'
     ) == Committed(version=1)
     outcomes: list[object] = []
 
     async def submit(name: str) -> None:
         outcomes.append(
             await commit_patch(
-                client,
+                table_client,
                 base_version=1,
                 patch=_add_service(name),
                 author=name,
@@ -55,11 +55,11 @@
     assert sorted(map(repr, outcomes)) == sorted(
         map(repr, [Committed(version=2), Conflict(current_version=2)])
     )
-    assert await read_head(client) == 2
+    assert await read_head(table_client) == 2
 
 
 async def test_commit_with_lost_response_is_reported_committed(
-    client: TableClient, table: TableService
+    table_client: TableClient, table: TableService
 ) -> None:
     """Guards against reporting a failure for a change that was applied.
 
@@ -68,24 +68,24 @@
     """
     table.faults = Faults(mode='lose_answer')
     outcome = await commit_patch(
-        client, base_version=0, patch=ADD_REGION, author='a', change_id='lost-1'
+        table_client, base_version=0, patch=ADD_REGION, author='a', change_id='lost-1'
     )
     table.faults = Faults()
     assert outcome == Committed(version=1)
 
 
 async def test_commit_while_table_is_down_is_unreachable(
-    client: TableClient, table: TableService
+    table_client: TableClient, table: TableService
 ) -> None:
     table.faults = Faults(mode='down')
     outcome = await commit_patch(
-        client, base_version=0, patch=ADD_REGION, author='a', change_id='down-1'
+        table_client, base_version=0, patch=ADD_REGION, author='a', change_id='down-1'
     )
     assert isinstance(outcome, Unreachable)
 
 
 async def test_patch_violating_schema_reports_every_problem(
-    client: TableClient,
+    table_client: TableClient,
 ) -> None:
     patch = [
         {
@@ -94,11 +94,13 @@
             'value': {'x': {'capacity': -1, 'zones': []}},
         }
     ]
-    outcome = await commit_patch(client, base_version=0, patch=patch, author='a', change_id='bad')
+    outcome = await commit_patch(
+        table_client, base_version=0, patch=patch, author='a', change_id='bad'
+    )
     assert outcome == Invalid(
         problems=(
             'regions.x.zones: must be a non-empty list',
             'regions.x.capacity: must be between 1 and 1000000000',
         )
     )
-    assert await read_head(client) == 0
+    assert await read_head(table_client) == 0
