--- a/packages/node/src/plantainloft_node/entry/fleet_parts.py
+++ b/packages/node/src/plantainloft_node/entry/fleet_parts.py
@@ -12,10 +12,10 @@
 from plantainloft_node.entry.sharing import MEMBERS_CALL, ROWS_CALL, SMALL_ROWS_CALL, RowReplication
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
 from plantainloft_node.entry.terms import seed_addresses
-from plantainloft_node.fleet.beats import BeatExchange
-from plantainloft_node.fleet.members import Beat, MemberBook
+from plantainloft_node.fleet.beats import HeartbeatExchange
+from plantainloft_node.fleet.members import FleetMembership, Heartbeat
 from plantainloft_node.quarantine.crash_book import CrashRegistry
-from plantainloft_node.replica.rows import RowCopy
+from plantainloft_node.replica.rows import RowReplica
 
 __all__ = ['start_fleet_tasks']
 
@@ -26,15 +26,15 @@
 def start_fleet_tasks(
     *,
     settings: EntrySettings,
-    members: MemberBook,
+    members: FleetMembership,
     replicated_state: ReplicatedState,
-    state: Callable[[], Beat],
+    own_heartbeat: Callable[[], Heartbeat],
     crash_registry: CrashRegistry,
     tasks: TaskGroup,
-) -> BeatExchange:
+) -> HeartbeatExchange:
     """Start heartbeats, peer calls, store probes and instance registration.
 
-    ``state`` returns the heartbeat of this instance. Returns the heartbeat
+    ``own_heartbeat`` returns the heartbeat of this instance. Returns the heartbeat
     exchange, which the caller uses to send heartbeats out of turn.
     """
     calls = PeerCalls(settings=settings, tasks=tasks)
@@ -42,9 +42,9 @@
         calls=calls, members=members, replicated_state=replicated_state, tasks=tasks
     )
     probes = StoreProbes(calls=calls, members=members, replicated_state=replicated_state)
-    heartbeats = BeatExchange(
+    heartbeats = HeartbeatExchange(
         members=members,
-        state=state,
+        own_heartbeat=own_heartbeat,
         on_update_hint=row_replication.on_update_hint,
         seeds=seed_addresses(settings),
         crash_registry=crash_registry,
@@ -63,9 +63,9 @@
     return heartbeats
 
 
-async def _announce_row_changes(rows: RowCopy, heartbeats: BeatExchange) -> None:
+async def _announce_row_changes(rows: RowReplica, heartbeats: HeartbeatExchange) -> None:
     """Send a report at once when rows change, to peers that do not poll the store."""
     while True:
-        await rows.change()
-        await heartbeats.tell_readers()
+        await rows.wait_for_change()
+        await heartbeats.send_to_subscribers()
         await anyio.sleep(ROW_CHANGE_DEBOUNCE_S)
--- a/packages/node/src/plantainloft_node/entry/instance_list.py
+++ b/packages/node/src/plantainloft_node/entry/instance_list.py
@@ -7,9 +7,9 @@
 
 from plantainloft_core.outcomes import Unreachable
 from plantainloft_node.entry.polling import PollingPolicy
-from plantainloft_node.fleet.members import FleetMember, MemberBook
+from plantainloft_node.fleet.members import FleetMember, FleetMembership
 from plantainloft_node.placing.affinity import rendezvous_score
-from plantainloft_node.replica.news import INSTANCES, News, NewsRow, NewsStore
+from plantainloft_node.replica.news import INSTANCES, RowBatch, StoreRow, TableStore
 
 __all__ = ['InstanceRegistry']
 
@@ -26,7 +26,7 @@
 class InstanceRegistry:
     """Keeps this instance registered and deregisters instances that are gone."""
 
-    def __init__(self, *, members: MemberBook, store: NewsStore) -> None:
+    def __init__(self, *, members: FleetMembership, store: TableStore) -> None:
         self._members = members
         self._store = store
         self._polling = PollingPolicy(members=members)
@@ -43,46 +43,51 @@
             delegates = self._polling.delegates_polling(anyio.current_time())
             await anyio.sleep(DELEGATED_LIST_INTERVAL_S if delegates else LIST_INTERVAL_S)
 
-    async def _apply_listing(self, listed: News) -> None:
+    async def _apply_listing(self, listed: RowBatch) -> None:
         now = anyio.current_time()
-        row_by_name: dict[str, NewsRow] = {}
+        row_by_name: dict[str, StoreRow] = {}
         for row in listed.rows:
             member = _parse_member(row)
             if member is not None:
                 row_by_name[member.name] = row
-                self._members.learn(member, now)
-        self._members.listed = True
-        if self._members.me.name not in row_by_name:
+                self._members.add_member(member, now)
+        self._members.has_member_list = True
+        if self._members.local_member.name not in row_by_name:
             # After a long network partition its peers may have deregistered it.
             await self._register()
-        gone = [name for name in row_by_name if self._members.is_gone(name, now)]
-        for name in gone:
+        replaced = [name for name in row_by_name if self._members.is_replaced(name, now)]
+        for name in replaced:
             await self._deregister(row_by_name[name], name)
-        for name in self._members.forget_gone(now):
+        for name in self._members.remove_replaced(now):
             log.info(
                 'Fleet: %s removed after a long silence.',
                 name,
                 extra={'kind': 'member', 'fields': {'member': name, 'up': False}},
             )
 
-    async def _deregister(self, row: NewsRow, name: str) -> None:
+    async def _deregister(self, row: StoreRow, name: str) -> None:
         # One instance does it: all that know the same peers choose the same one.
         # The row is removed only if its version is unchanged, so an instance that
         # has registered again after a restart stays registered.
-        others = self._members.sharing(anyio.current_time())
-        if max(others, key=lambda other: rendezvous_score(name, other)) == self._members.me.name:
+        others = self._members.region_by_limit_sharer(anyio.current_time())
+        if (
+            max(others, key=lambda other: rendezvous_score(name, other))
+            == self._members.local_member.name
+        ):
             await self._store.remove_row(row)
 
     async def _register(self) -> None:
-        content: bytes = msgpack.packb(list(self._members.me))
+        content: bytes = msgpack.packb(list(self._members.local_member))
         while True:
-            outcome = await self._store.put_row(INSTANCES, self._members.me.front, content)
+            outcome = await self._store.put_row(
+                INSTANCES, self._members.local_member.caller_address, content
+            )
             if outcome is None:
                 return
             await anyio.sleep(LIST_RETRY_DELAY_S)
 
 
-def _parse_member(row: NewsRow) -> FleetMember | None:
+def _parse_member(row: StoreRow) -> FleetMember | None:
     if row.content is None:
         return None
     try:
--- a/packages/node/src/plantainloft_node/entry/lookups.py
+++ b/packages/node/src/plantainloft_node/entry/lookups.py
@@ -10,7 +10,7 @@
 
 from plantainloft_core.routes import CallerLimits
 from plantainloft_node.engine.exchange import Exchange, ExchangeHandler
-from plantainloft_node.fleet.members import FleetMember, MemberBook
+from plantainloft_node.fleet.members import FleetMember, FleetMembership
 
 __all__ = ['LocalHandler', 'LookupHandler', 'ReadyHandler', 'front_addresses']
 
@@ -56,7 +56,7 @@
     """Answers look-ups with the addresses of the entry instances to connect to."""
 
     def __init__(
-        self, *, members: MemberBook, ready: Callable[[], bool], ttl_s: Callable[[], float]
+        self, *, members: FleetMembership, ready: Callable[[], bool], ttl_s: Callable[[], float]
     ) -> None:
         self._members = members
         self._ready = ready
@@ -67,9 +67,9 @@
         query = parse_qs(exchange.query)
         region = query.get('region', [''])[0]
         zone = query.get('zone', [''])[0]
-        serving = self._members.serving(anyio.current_time())
+        serving = self._members.serving_peers(anyio.current_time())
         if self._ready():
-            serving.append(self._members.me)
+            serving.append(self._members.local_member)
         addresses = front_addresses(serving, region=region, zone=zone)
         if not addresses:
             return _UNAVAILABLE, b'{}'
@@ -91,4 +91,4 @@
     in_zone = [member for member in in_region if member.zone == zone]
     selected = in_zone if len(in_zone) >= MIN_ADDRESSES_IN_ZONE else in_region or serving
     ordered = sorted(selected, key=lambda member: (member.zone != zone, member.name))
-    return [member.front for member in ordered[:MAX_ADDRESSES]]
+    return [member.caller_address for member in ordered[:MAX_ADDRESSES]]
--- a/packages/node/src/plantainloft_node/entry/observing.py
+++ b/packages/node/src/plantainloft_node/entry/observing.py
@@ -4,10 +4,10 @@
 from types import MappingProxyType
 
 from plantainloft_node.placing.endpoints import EndpointRegistry
-from plantainloft_node.replica.beliefs import Beliefs
-from plantainloft_node.replica.follower import TableFollower
-from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS, NewsStore
-from plantainloft_node.replica.rows import RowCopy
+from plantainloft_node.replica.beliefs import RoutingState
+from plantainloft_node.replica.follower import TablePoller
+from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS, TableStore
+from plantainloft_node.replica.rows import RowReplica
 
 __all__ = ['ReplicatedState']
 
@@ -26,12 +26,12 @@
 
 
 class ReplicatedState:
-    """The local copy of the store's rows, its followers, and the state derived from it."""
+    """The local copy of the store's rows, its pollers, and the state derived from it."""
 
     def __init__(
         self,
         *,
-        store: NewsStore,
+        store: TableStore,
         region_by_zone: dict[str, str],
         long_poll_wait_s: Callable[[], float],
         delegates_polling: Callable[[], bool] = _never,
@@ -44,19 +44,21 @@
         self._is_polled_by_others = delegates_polling
         self.store = store
         self.endpoint_registry = EndpointRegistry(region_by_zone=region_by_zone)
-        self.rows = RowCopy()
-        self.routing_state = Beliefs(endpoint_registry=self.endpoint_registry, decode=store.decode)
-        self.followers = {
-            table: TableFollower(
+        self.rows = RowReplica()
+        self.routing_state = RoutingState(
+            endpoint_registry=self.endpoint_registry, decode=store.decode
+        )
+        self.pollers = {
+            table: TablePoller(
                 table=table,
                 store=store,
                 rows=self.rows,
                 routing_state=self.routing_state,
-                pause_s=pause_s,
+                batch_pause_s=batch_pause_s,
                 long_poll_wait_s=long_poll_wait_s,
                 delegates_polling=self.delegates_polling if table == ENDPOINTS else _never,
             )
-            for table, pause_s in POLL_PAUSE_S_BY_TABLE.items()
+            for table, batch_pause_s in POLL_PAUSE_S_BY_TABLE.items()
         }
 
     def delegates_polling(self) -> bool:
@@ -70,9 +72,9 @@
 
     def polls_successfully(self) -> bool:
         """Return whether this instance polls both tables itself and both polls succeed."""
-        followers = self.followers.values()
+        pollers = self.pollers.values()
         return not self.delegates_polling() and all(
-            one.in_touch and one.has_listed for one in followers
+            one.is_connected and one.has_initial_listing for one in pollers
         )
 
     def store_available_for_s(self, now: float) -> float | None:
@@ -80,5 +82,5 @@
 
         ``None`` while it is not.
         """
-        served_s = self.routing_state.store.served_s(now)
-        return None if served_s is None else min(served_s, MAX_SERVED_S)
+        available_for_s = self.routing_state.store_availability.available_for_s(now)
+        return None if available_for_s is None else min(available_for_s, MAX_SERVED_S)
--- a/packages/node/src/plantainloft_node/entry/peer_calls.py
+++ b/packages/node/src/plantainloft_node/entry/peer_calls.py
@@ -30,7 +30,7 @@
 
     async def call(self, member: FleetMember, kind: str, content: Any) -> Any | Unreachable:
         """Call ``member`` and return the content of its answer, or ``Unreachable``."""
-        host = member.front.rpartition(':')[0]
+        host = member.caller_address.rpartition(':')[0]
         address = f'{host}:{self._peer_call_address.rpartition(":")[2]}'
         answer = await self._peer_connections.call(address, kind, content, timeout_s=CALL_TIMEOUT_S)
         if isinstance(answer, Unreachable):
--- a/packages/node/src/plantainloft_node/entry/polling.py
+++ b/packages/node/src/plantainloft_node/entry/polling.py
@@ -14,8 +14,8 @@
 are lost alike, so no peer has newer rows.
 """
 
-from plantainloft_node.fleet.members import FleetMember, MemberBook
-from plantainloft_node.fleet.ranking import RELAYS, is_answering, ranked_in
+from plantainloft_node.fleet.members import FleetMember, FleetMembership
+from plantainloft_node.fleet.ranking import RELAYS_PER_ZONE, is_responsive, ranked_members
 from plantainloft_node.placing.affinity import rendezvous_score
 
 __all__ = ['LONG_WAIT_S', 'SHORT_WAIT_S', 'PollingPolicy', 'poll_wait_s']
@@ -42,7 +42,7 @@
 class PollingPolicy:
     """Decides whether this instance polls the endpoints or delegates it to relays."""
 
-    def __init__(self, *, members: MemberBook) -> None:
+    def __init__(self, *, members: FleetMembership) -> None:
         self._members = members
         self._started_at: float | None = None
         self._unpolled_since: float | None = None
@@ -55,8 +55,8 @@
         unavailable to the relays only.
         """
         ranked = self._ranked_in_zone(now)
-        rank = ranked.index(self._members.me)
-        if rank < RELAYS:
+        rank = ranked.index(self._members.local_member)
+        if rank < RELAYS_PER_ZONE:
             return False
         if self._is_polled_by_others(ranked, now):
             self._unpolled_since = None
@@ -68,18 +68,18 @@
 
     def long_poll_wait_s(self, now: float) -> float:
         """Return how long a poll of the store waits for a change, in seconds."""
-        if self._ranked_in_zone(now).index(self._members.me) < RELAYS:
+        if self._ranked_in_zone(now).index(self._members.local_member) < RELAYS_PER_ZONE:
             return SHORT_WAIT_S
         return poll_wait_s(self._members, now)
 
     def _ranked_in_zone(self, now: float) -> list[FleetMember]:
-        zone = self._members.known.by_zone()[self._members.me.zone]
-        return ranked_in(zone, self._members, now)
+        zone = self._members.registry.by_zone()[self._members.local_member.zone]
+        return ranked_members(zone, self._members, now)
 
     def _is_polled_by_others(self, ranked: list[FleetMember], now: float) -> bool:
-        if not any(is_answering(one, self._members, now) for one in ranked[:RELAYS]):
+        if not any(is_responsive(one, self._members, now) for one in ranked[:RELAYS_PER_ZONE]):
             return False
-        return any(self._members.signs.is_following(one.name) for one in ranked)
+        return any(self._members.liveness.polls_store(one.name) for one in ranked)
 
     def _startup_grace_left_s(self, now: float) -> float:
         if self._started_at is None:
@@ -87,14 +87,14 @@
         return max(0.0, self._started_at + STARTUP_GRACE_S - now)
 
 
-def poll_wait_s(members: MemberBook, now: float) -> float:
+def poll_wait_s(members: FleetMembership, now: float) -> float:
     """Return the wait in seconds of this instance's polls if all instances poll.
 
     All instances compute the same ranking of those that are up, so about
     ``SHORT_WAIT_INSTANCES`` use the short wait whichever instances fail.
     """
-    names = [member.name for member in members.up(now)]
-    mine = _poll_order(members.me.name)
+    names = [member.name for member in members.peers_up(now)]
+    mine = _poll_order(members.local_member.name)
     ahead = sum(1 for name in names if _poll_order(name) > mine)
     return SHORT_WAIT_S if ahead < SHORT_WAIT_INSTANCES else LONG_WAIT_S
 
--- a/packages/node/src/plantainloft_node/entry/process.py
+++ b/packages/node/src/plantainloft_node/entry/process.py
@@ -21,9 +21,9 @@
 from plantainloft_node.entry.settings import EntrySettings
 from plantainloft_node.entry.terms import UPDATE_INTERVAL_S, local_member
 from plantainloft_node.entry.upkeep import PeriodicUpdates
-from plantainloft_node.fleet.beats import BeatExchange
-from plantainloft_node.fleet.members import Beat, MemberBook
-from plantainloft_node.replica.news import NewsStore
+from plantainloft_node.fleet.beats import HeartbeatExchange
+from plantainloft_node.fleet.members import FleetMembership, Heartbeat
+from plantainloft_node.replica.news import TableStore
 
 __all__ = ['EntryProcess']
 
@@ -44,7 +44,7 @@
         self,
         *,
         settings: EntrySettings,
-        store: NewsStore,
+        store: TableStore,
         names: HeaderNames,
         load_settings: Callable[[], EntrySettings | Invalid],
     ) -> None:
@@ -53,7 +53,7 @@
         self._settings = settings
         self._draining = False
         self._listeners = Listeners()
-        self.members = MemberBook(me=local_member(settings))
+        self.members = FleetMembership(local_member=local_member(settings))
         self._polling = PollingPolicy(members=self.members)
         self.replicated_state = ReplicatedState(
             store=store,
@@ -62,7 +62,7 @@
             delegates_polling=lambda: self._polling.delegates_polling(anyio.current_time()),
         )
         self.report = MetricsReport(replicated_state=self.replicated_state, members=self.members)
-        self._heartbeats: BeatExchange | None = None
+        self._heartbeats: HeartbeatExchange | None = None
         self.quarantine = build_quarantine(
             store=store, members=self.members, broadcast=self._announce_soon
         )
@@ -77,7 +77,7 @@
 
     def ready(self) -> bool:
         """Return whether callers may be directed to this instance."""
-        return not self._draining and self.replicated_state.routing_state.table.version > 0
+        return not self._draining and self.replicated_state.routing_state.route_table.version > 0
 
     async def run(self) -> None:
         """Serve until SIGTERM, then shut down gracefully."""
@@ -97,12 +97,12 @@
                 tasks.cancel_scope.cancel()
         log.info('Entry: stopped.', extra={'kind': 'stop'})
 
-    def _start_background_tasks(self, tasks: TaskGroup) -> BeatExchange:
+    def _start_background_tasks(self, tasks: TaskGroup) -> HeartbeatExchange:
         heartbeats = start_fleet_tasks(
             settings=self._settings,
             members=self.members,
             replicated_state=self.replicated_state,
-            state=self._own_heartbeat,
+            own_heartbeat=self._own_heartbeat,
             crash_registry=self.quarantine.crash_registry,
             tasks=tasks,
         )
@@ -112,8 +112,8 @@
             members=self.members,
             pipeline=self.pipeline,
         )
-        for follower in self.replicated_state.followers.values():
-            tasks.start_soon(follower.run)
+        for poller in self.replicated_state.pollers.values():
+            tasks.start_soon(poller.run)
         tasks.start_soon(updates.run)
         tasks.start_soon(self.pipeline.crash_detector.run)
         tasks.start_soon(self.quarantine.run)
@@ -144,17 +144,17 @@
 
     def _announce_soon(self) -> None:
         if self._heartbeats is not None:
-            self._heartbeats.hurry()
+            self._heartbeats.request_round()
 
-    def _own_heartbeat(self) -> Beat:
-        return Beat(
-            member=self.members.me,
+    def _own_heartbeat(self) -> Heartbeat:
+        return Heartbeat(
+            member=self.members.local_member,
             ready=self.ready(),
-            leaving=self._draining,
-            newest_by_table=self.replicated_state.rows.newest_by_table,
+            draining=self._draining,
+            newest_version_by_table=self.replicated_state.rows.newest_version_by_table,
             rate_by_service=self.pipeline.dispatcher.demand.rate_by_service,
-            follows=self.replicated_state.polls_successfully(),
-            store_served_s=self.replicated_state.store_available_for_s(anyio.current_time()),
+            polls_store=self.replicated_state.polls_successfully(),
+            store_available_for_s=self.replicated_state.store_available_for_s(anyio.current_time()),
             usage_by_organisation=self.pipeline.limiter.usage_report(anyio.current_time()),
         )
 
@@ -178,7 +178,7 @@
         self.pipeline.apply_settings(settings)
         logging.getLogger().setLevel(settings.log_level)
 
-    async def _drain(self, heartbeats: BeatExchange) -> None:
+    async def _drain(self, heartbeats: HeartbeatExchange) -> None:
         """Direct callers to other instances, and wait for the requests in progress.
 
         Waits until cached look-ups have expired, then for requests in progress
@@ -189,7 +189,7 @@
         fields = {'open': self.pipeline.forwarding_handler.requests_in_progress}
         log.info('Entry: stopping.', extra={'kind': 'stop', 'fields': fields})
         self._listeners.start_draining()
-        await heartbeats.send_round(to_all=True)
+        await heartbeats.send_round(include_not_due=True)
         lookups_expire_at = started_at + LOOKUP_CACHE_TTLS * self._settings.lookup_ttl_s
         deadline = started_at + self._settings.grace_s - SHUTDOWN_MARGIN_S
         now = started_at
--- a/packages/node/src/plantainloft_node/entry/quarantine_rows.py
+++ b/packages/node/src/plantainloft_node/entry/quarantine_rows.py
@@ -5,11 +5,11 @@
 import anyio
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.fleet.members import MemberBook
+from plantainloft_node.fleet.members import FleetMembership
 from plantainloft_node.quarantine.crash_book import CrashRegistry
 from plantainloft_node.quarantine.quarantine import Quarantine
 from plantainloft_node.quarantine.records import QuarantineStore, StoredRecord, VersionConflict
-from plantainloft_node.replica.news import QUARANTINE, NewsRow, NewsStore
+from plantainloft_node.replica.news import QUARANTINE, StoreRow, TableStore
 
 __all__ = ['EntryQuarantineStore', 'build_quarantine']
 
@@ -17,7 +17,7 @@
 class EntryQuarantineStore(QuarantineStore):
     """The table of quarantined requests in the store."""
 
-    def __init__(self, *, store: NewsStore) -> None:
+    def __init__(self, *, store: TableStore) -> None:
         self._store = store
 
     async def read(self) -> list[StoredRecord] | Unreachable:
@@ -45,12 +45,12 @@
         return await self._store.remove_row(_to_row(row))
 
 
-def _to_row(row: StoredRecord) -> NewsRow:
-    return NewsRow(QUARANTINE, row.key, row.version, row.encoded)
+def _to_row(row: StoredRecord) -> StoreRow:
+    return StoreRow(QUARANTINE, row.key, row.version, row.encoded)
 
 
 def build_quarantine(
-    *, store: NewsStore, members: MemberBook, broadcast: Callable[[], None]
+    *, store: TableStore, members: FleetMembership, broadcast: Callable[[], None]
 ) -> Quarantine:
     """Return an empty quarantine.
 
@@ -59,6 +59,6 @@
     return Quarantine(
         crash_registry=CrashRegistry(),
         store=EntryQuarantineStore(store=store),
-        has_no_live_peers=lambda: not members.up(anyio.current_time()),
+        has_no_live_peers=lambda: not members.peers_up(anyio.current_time()),
         broadcast=broadcast,
     )
--- a/packages/node/src/plantainloft_node/entry/report.py
+++ b/packages/node/src/plantainloft_node/entry/report.py
@@ -6,7 +6,7 @@
 from plantainloft_node.engine.front import ForwardingHandler
 from plantainloft_node.entry.metrics import Metrics
 from plantainloft_node.entry.observing import ReplicatedState
-from plantainloft_node.fleet.members import MemberBook
+from plantainloft_node.fleet.members import FleetMembership
 from plantainloft_node.limits.limiter import RequestLimiter
 from plantainloft_node.limits.listing import ListedOrganisation, list_organisations
 from plantainloft_node.placing.placement import Placement
@@ -20,7 +20,7 @@
 class MetricsReport:
     """Counts requests as they are answered, and reads gauges on demand."""
 
-    def __init__(self, *, replicated_state: ReplicatedState, members: MemberBook) -> None:
+    def __init__(self, *, replicated_state: ReplicatedState, members: FleetMembership) -> None:
         self._replicated_state = replicated_state
         self._members = members
         self._metrics = Metrics()
@@ -40,9 +40,9 @@
         now = anyio.current_time()
         metrics = self._metrics
         routing_state = self._replicated_state.routing_state
-        metrics.set_gauge('configuration_version', routing_state.table.version)
-        metrics.set_gauge('configuration_age_seconds', now - routing_state.table_since)
-        metrics.set_gauge('members_up', len(self._members.up(now)) + 1)
+        metrics.set_gauge('configuration_version', routing_state.route_table.version)
+        metrics.set_gauge('configuration_age_seconds', now - routing_state.route_table_since)
+        metrics.set_gauge('members_up', len(self._members.peers_up(now)) + 1)
         metrics.set_gauge('requests_in_progress', forwarding_handler.requests_in_progress)
         for service, remaining in dispatcher.remaining_retry_budgets(now).items():
             metrics.set_gauge('retry_budget_left', remaining, service=service)
@@ -56,7 +56,7 @@
         """Return the organisations with their usage of their limits at this instance."""
         if self.limiter is None:
             return []
-        organisations = self._replicated_state.routing_state.table.organisations
+        organisations = self._replicated_state.routing_state.route_table.organisations
         usage_by_name = self.limiter.usage_by_organisation(organisations, anyio.current_time())
         return list_organisations(organisations, usage_by_name)
 
@@ -72,9 +72,9 @@
 
     def _set_observation_gauges(self, now: float) -> None:
         metrics = self._metrics
-        for name, follower in self._replicated_state.followers.items():
-            metrics.set_gauge('store_followed', follower.in_touch, table=name)
-            metrics.set_gauge('store_heard_seconds_ago', now - follower.heard_at, table=name)
+        for name, poller in self._replicated_state.pollers.items():
+            metrics.set_gauge('store_followed', poller.is_connected, table=name)
+            metrics.set_gauge('store_heard_seconds_ago', now - poller.last_answer_at, table=name)
         for service, latency in self._replicated_state.endpoint_registry.latency_by_service.items():
             metrics.set_gauge('answer_seconds_usual', latency.mean_s, service=service)
             metrics.set_gauge('silent_after_seconds', latency.max_silence_s, service=service)
--- a/packages/node/src/plantainloft_node/entry/serving.py
+++ b/packages/node/src/plantainloft_node/entry/serving.py
@@ -68,7 +68,7 @@
         names=names,
         dispatcher=dispatcher,
         limiter=limiter,
-        route_table=lambda: replicated_state.routing_state.table,
+        route_table=lambda: replicated_state.routing_state.route_table,
         record_outcome=report.observe,
     )
     return RequestPipeline(placement, pool, dispatcher, forwarding_handler, crash_detector, limiter)
--- a/packages/node/src/plantainloft_node/entry/sharing.py
+++ b/packages/node/src/plantainloft_node/entry/sharing.py
@@ -16,11 +16,11 @@
 from plantainloft_core.outcomes import Unreachable
 from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.peer_calls import PeerCalls
-from plantainloft_node.fleet.intake import Hint
-from plantainloft_node.fleet.members import Beat, FleetMember, MemberBook
-from plantainloft_node.fleet.ranking import relays_in
-from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS, News, NewsRow
-from plantainloft_node.replica.rows import RowCopy
+from plantainloft_node.fleet.intake import UpdateHint
+from plantainloft_node.fleet.members import FleetMember, FleetMembership, Heartbeat
+from plantainloft_node.fleet.ranking import zone_relays
+from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS, RowBatch, StoreRow
+from plantainloft_node.replica.rows import RowReplica
 
 __all__ = ['MEMBERS_CALL', 'ROWS_CALL', 'SMALL_ROWS_CALL', 'RowReplication']
 
@@ -51,7 +51,7 @@
         self,
         *,
         calls: PeerCalls,
-        members: MemberBook,
+        members: FleetMembership,
         replicated_state: ReplicatedState,
         tasks: TaskGroup,
     ) -> None:
@@ -60,21 +60,21 @@
         self._replicated_state = replicated_state
         self._rows = replicated_state.rows
         self._routing_state = replicated_state.routing_state
-        self._followers = replicated_state.followers
+        self._pollers = replicated_state.pollers
         self._tasks = tasks
         self._fetches_in_progress = 0
         self._large_fetch_scheduled = False
         self._last_fetch_at = 0.0
 
-    def on_heartbeat(self, beat: Beat) -> None:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Request the rows that are missing here from the sender of a heartbeat."""
-        self.on_update_hint(Hint(beat.member, beat.newest_by_table, ()))
+        self.on_update_hint(UpdateHint(heartbeat.member, heartbeat.newest_version_by_table, ()))
 
-    def on_update_hint(self, hint: Hint) -> None:
+    def on_update_hint(self, hint: UpdateHint) -> None:
         """Request rows and instances that are missing here from a peer that has them."""
         now = anyio.current_time()
-        if hint.relayed is not None:
-            self._note_relayed_status(hint.member, hint.relayed.store_served_s, now)
+        if hint.relay_heartbeat is not None:
+            self._note_relayed_status(hint.member, hint.relay_heartbeat.store_available_for_s, now)
         is_waiting = self._fetches_in_progress and now - self._last_fetch_at < FETCH_RETRY_AFTER_S
         if not is_waiting and (
             _lacks_rows(self._rows, hint) or _lacks_members(self._members, hint)
@@ -83,38 +83,46 @@
             self._last_fetch_at = now
             self._tasks.start_soon(self._fetch_missing, hint)
 
-    async def answer_rows_call(self, newest_by_table: Any) -> Any:
+    async def answer_rows_call(self, newest_version_by_table: Any) -> Any:
         """Answer a call for the rows newer than those that a peer has."""
-        return self._rows_answer(newest_by_table, left_out=())
+        return self._rows_answer(newest_version_by_table, left_out=())
 
-    async def answer_small_rows_call(self, newest_by_table: Any) -> Any:
+    async def answer_small_rows_call(self, newest_version_by_table: Any) -> Any:
         """Answer like ``answer_rows_call``, but only name large tables, without their rows."""
         size_by_table: dict[str, int] = {}
-        for row in self._rows.since(newest_by_table):
+        for row in self._rows.rows_newer_than(newest_version_by_table):
             size = len(row.content or b'')
             size_by_table[row.table] = size_by_table.get(row.table, 0) + size
         large = [table for table, size in size_by_table.items() if size > MAX_SMALL_TABLE_BYTES]
-        return self._rows_answer(newest_by_table, left_out=large)
+        return self._rows_answer(newest_version_by_table, left_out=large)
 
     async def answer_members_call(self, _: Any) -> Any:
         """Answer a call for the instances that count for shared limits, including this one."""
-        counted = self._members.counted(anyio.current_time())
-        return [list(member) for member in (*counted, self._members.me)]
+        peers = self._members.peers_sharing_limits(anyio.current_time())
+        return [list(member) for member in (*peers, self._members.local_member)]
 
     def _rows_answer(
-        self, newest_by_table: dict[str, int], *, left_out: Sequence[str]
+        self, newest_version_by_table: dict[str, int], *, left_out: Sequence[str]
     ) -> dict[str, Any]:
-        whole = [table for table in self._rows.cut_off(newest_by_table) if table not in left_out]
-        known = {table: version for table, version in newest_by_table.items() if table not in whole}
-        rows = [row for row in self._rows.since(known) if row.table not in left_out]
+        whole = [
+            table
+            for table in self._rows.tables_needing_full_sync(newest_version_by_table)
+            if table not in left_out
+        ]
+        known = {
+            table: version
+            for table, version in newest_version_by_table.items()
+            if table not in whole
+        }
+        rows = [row for row in self._rows.rows_newer_than(known) if row.table not in left_out]
         return {
             'rows': [list(row) for row in rows],
-            'whole': {table: self._rows.newest_by_table[table] for table in whole},
+            'whole': {table: self._rows.newest_version_by_table[table] for table in whole},
             'left_out': left_out,
             'store_served_s': self._replicated_state.store_available_for_s(anyio.current_time()),
         }
 
-    async def _fetch_missing(self, hint: Hint) -> None:
+    async def _fetch_missing(self, hint: UpdateHint) -> None:
         if not (
             self._replicated_state.delegates_polling() and _lacks_table(self._rows, hint, ENDPOINTS)
         ):
@@ -125,16 +133,20 @@
             await self._fetch_members(hint.member)
         self._fetches_in_progress -= 1
 
-    def _note_relayed_status(self, member: FleetMember, served_s: float | None, now: float) -> None:
-        zone = self._members.known.by_zone()[self._members.me.zone]
-        if self._members.me not in relays_in(zone, self._members, now):
-            self._routing_state.store.note_told(member.name, served_s, now)
+    def _note_relayed_status(
+        self, member: FleetMember, available_for_s: float | None, now: float
+    ) -> None:
+        zone = self._members.registry.by_zone()[self._members.local_member.zone]
+        if self._members.local_member not in zone_relays(zone, self._members, now):
+            self._routing_state.store_availability.record_peer_uptime(
+                member.name, available_for_s, now
+            )
 
     async def _fetch_rows(self, member: FleetMember) -> None:
         if not self._replicated_state.delegates_polling():
             await self._fetch_all_rows(member)
             return
-        answer = await self._calls.call(member, SMALL_ROWS_CALL, self._rows.newest_by_table)
+        answer = await self._calls.call(member, SMALL_ROWS_CALL, self._rows.newest_version_by_table)
         if isinstance(answer, Unreachable):
             self._poll_store((ENDPOINTS,))
             return
@@ -150,14 +162,14 @@
         Usually the poll is about to return it, but an unresponsive store may never
         answer the poll.
         """
-        version = self._rows.newest_by_table.get(DECLARATIONS)
+        version = self._rows.newest_version_by_table.get(DECLARATIONS)
         await anyio.sleep(LARGE_FETCH_DELAY_S)
-        if self._rows.newest_by_table.get(DECLARATIONS) == version:
+        if self._rows.newest_version_by_table.get(DECLARATIONS) == version:
             await self._fetch_all_rows(member)
         self._large_fetch_scheduled = False
 
     async def _fetch_all_rows(self, member: FleetMember) -> None:
-        answer = await self._calls.call(member, ROWS_CALL, self._rows.newest_by_table)
+        answer = await self._calls.call(member, ROWS_CALL, self._rows.newest_version_by_table)
         if not isinstance(answer, Unreachable):
             self._apply_answer(member, answer)
 
@@ -170,18 +182,18 @@
             return ()
         now = anyio.current_time()
         self._note_relayed_status(member, answer.get('store_served_s'), now)
-        self._routing_state.take(fresh, now, source=member.name)
+        self._routing_state.apply_rows(fresh, now, source=member.name)
         changed = {row.table for row in fresh}
         for table in changed:
-            self._followers[table].wake()
+            self._pollers[table].restart_poll()
         return left_out
 
     def _poll_store(self, tables: Iterable[str]) -> None:
         """Poll the store once for tables that peers do not send."""
         for table in tables:
-            follower = self._followers.get(table)
-            if follower is not None:
-                follower.poll_now()
+            poller = self._pollers.get(table)
+            if poller is not None:
+                poller.poll_now()
 
     async def _fetch_members(self, member: FleetMember) -> None:
         answer = await self._calls.call(member, MEMBERS_CALL, None)
@@ -194,32 +206,32 @@
             return
         now = anyio.current_time()
         for one in members:
-            self._members.learn(one, now)
-        self._members.listed = True
+            self._members.add_member(one, now)
+        self._members.has_member_list = True
 
-    def _parse_answer(self, answer: Any) -> tuple[list[NewsRow], tuple[str, ...]]:
+    def _parse_answer(self, answer: Any) -> tuple[list[StoreRow], tuple[str, ...]]:
         left_out = tuple(str(table) for table in answer.get('left_out', ()))
-        rows = [NewsRow(*row) for row in answer['rows']]
+        rows = [StoreRow(*row) for row in answer['rows']]
         return self._merge(rows, answer.get('whole', {})), left_out
 
-    def _merge(self, rows: list[NewsRow], whole: dict[str, int]) -> list[NewsRow]:
+    def _merge(self, rows: list[StoreRow], whole: dict[str, int]) -> list[StoreRow]:
         fresh = self._rows.merge(row for row in rows if row.table not in whole)
         for table, version in whole.items():
-            listing = News(tuple(row for row in rows if row.table == table), version)
+            listing = RowBatch(tuple(row for row in rows if row.table == table), version)
             fresh += self._rows.merge_listing(table, listing)
         return fresh
 
 
-def _lacks_rows(rows: RowCopy, hint: Hint) -> bool:
-    return any(_lacks_table(rows, hint, table) for table in hint.newest_by_table)
+def _lacks_rows(rows: RowReplica, hint: UpdateHint) -> bool:
+    return any(_lacks_table(rows, hint, table) for table in hint.newest_version_by_table)
 
 
-def _lacks_table(rows: RowCopy, hint: Hint, table: str) -> bool:
-    return hint.newest_by_table.get(table, 0) > rows.newest_by_table.get(table, 0)
+def _lacks_table(rows: RowReplica, hint: UpdateHint, table: str) -> bool:
+    return hint.newest_version_by_table.get(table, 0) > rows.newest_version_by_table.get(table, 0)
 
 
-def _lacks_members(members: MemberBook, hint: Hint) -> bool:
-    return any(members.known.name_of(key) is None for key in hint.keys)
+def _lacks_members(members: FleetMembership, hint: UpdateHint) -> bool:
+    return any(members.registry.name_of(key) is None for key in hint.member_keys)
 
 
 def _log_malformed(member: FleetMember, exc: Exception) -> None:
--- a/packages/node/src/plantainloft_node/entry/store_probes.py
+++ b/packages/node/src/plantainloft_node/entry/store_probes.py
@@ -17,8 +17,8 @@
 
 from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.peer_calls import PeerCalls
-from plantainloft_node.fleet.members import FleetMember, MemberBook
-from plantainloft_node.replica.store_watch import LAPSE_GRACE_S
+from plantainloft_node.fleet.members import FleetMember, FleetMembership
+from plantainloft_node.replica.store_watch import ROW_EXPIRY_GRACE_S
 
 __all__ = ['PROBE_CALL', 'StoreProbes']
 
@@ -41,18 +41,18 @@
     """Asks peers to probe the store after a failure, and probes it for them."""
 
     def __init__(
-        self, *, calls: PeerCalls, members: MemberBook, replicated_state: ReplicatedState
+        self, *, calls: PeerCalls, members: FleetMembership, replicated_state: ReplicatedState
     ) -> None:
         self._calls = calls
         self._members = members
         self._store = replicated_state.store
         self._routing_state = replicated_state.routing_state
-        self._watch = replicated_state.routing_state.store
+        self._store_availability = replicated_state.routing_state.store_availability
 
     async def run(self) -> None:
         """Ask peers after each failed call to the store until cancelled."""
         while True:
-            await self._watch.failure()
+            await self._store_availability.wait_for_failure()
             await self._ask_peers()
             await anyio.sleep(MIN_PROBE_INTERVAL_S)
 
@@ -62,7 +62,7 @@
         Return for how many seconds it has been available to this instance, or
         ``None`` if it is not.
         """
-        if self._watch.is_failing:
+        if self._store_availability.is_failing:
             return None
         sent_at = anyio.current_time()
         answered = False
@@ -70,10 +70,10 @@
             answered = await self._probe()
         now = anyio.current_time()
         if not answered:
-            self._watch.note_failed(due_at=sent_at)
+            self._store_availability.record_failure(due_at=sent_at)
             return None
-        self._watch.note_answered(sent_at=sent_at, now=now)
-        return self._watch.served_s(now)
+        self._store_availability.record_answer(sent_at=sent_at, now=now)
+        return self._store_availability.available_for_s(now)
 
     async def _probe(self) -> bool:
         if await self._store.probe() is None:
@@ -83,7 +83,7 @@
 
     async def _ask_peers(self) -> None:
         peers = self._peers_to_ask()
-        while peers and self._watch.may_have_lapsed(anyio.current_time()):
+        while peers and self._store_availability.may_have_expired(anyio.current_time()):
             async with anyio.create_task_group() as tasks:
                 for member in peers[:PEERS_AT_ONCE]:
                     tasks.start_soon(self._ask_peer, member)
@@ -98,22 +98,26 @@
         Peers that last reported to poll the store successfully come first.
         """
         now = anyio.current_time()
-        up = self._members.up(now)
-        known = [one for one in up if self._members.signs.up_for_s(one.name, now) >= LAPSE_GRACE_S]
+        up = self._members.peers_up(now)
+        known = [
+            one
+            for one in up
+            if self._members.liveness.uptime_s(one.name, now) >= ROW_EXPIRY_GRACE_S
+        ]
         candidates = random.sample(known, len(known))
-        candidates.sort(key=lambda one: self._members.signs.is_following(one.name), reverse=True)
+        candidates.sort(key=lambda one: self._members.liveness.polls_store(one.name), reverse=True)
         return candidates[:MAX_PEERS_ASKED]
 
     async def _ask_peer(self, member: FleetMember) -> None:
         asked_at = anyio.current_time()
-        served_s = await self._calls.call(member, PROBE_CALL, None)
-        if not isinstance(served_s, float):
+        available_for_s = await self._calls.call(member, PROBE_CALL, None)
+        if not isinstance(available_for_s, float):
             return
         now = anyio.current_time()
-        self._watch.note_served_elsewhere(since=now - served_s, asked_at=asked_at)
+        self._store_availability.record_peer_access(since=now - available_for_s, asked_at=asked_at)
         log.info(
             'Store: available to %s.',
             member.name,
             extra={'kind': 'store_probe', 'fields': {'member': member.name}},
         )
-        self._routing_state.tick(now)
+        self._routing_state.expire_grace_periods(now)
--- a/packages/node/src/plantainloft_node/entry/terms.py
+++ b/packages/node/src/plantainloft_node/entry/terms.py
@@ -69,8 +69,8 @@
         incarnation=int(time.time() * MS_PER_S),
         region=settings.region,
         zone=settings.zone,
-        front=settings.caller_address,
-        peer=settings.heartbeat_address,
+        caller_address=settings.caller_address,
+        heartbeat_address=settings.heartbeat_address,
     )
 
 
--- a/packages/node/src/plantainloft_node/entry/upkeep.py
+++ b/packages/node/src/plantainloft_node/entry/upkeep.py
@@ -6,12 +6,12 @@
 from plantainloft_node.entry.serving import RequestPipeline
 from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
 from plantainloft_node.fleet.demand import (
-    demand_of_zones,
     fleet_size,
-    has_fresh_uses,
-    uses_of_fleet,
+    has_current_fleet_usage,
+    sum_fleet_usage,
+    zone_demands,
 )
-from plantainloft_node.fleet.members import MemberBook
+from plantainloft_node.fleet.members import FleetMembership
 from plantainloft_node.placing.demand import DemandReport, demand_by_region
 
 __all__ = ['PeriodicUpdates']
@@ -24,7 +24,7 @@
         self,
         *,
         replicated_state: ReplicatedState,
-        members: MemberBook,
+        members: FleetMembership,
         pipeline: RequestPipeline,
     ) -> None:
         self._replicated_state = replicated_state
@@ -46,23 +46,23 @@
 
     def update(self, now: float) -> None:
         """Update everything that depends on the current time."""
-        self._replicated_state.routing_state.tick(now)
-        self._placement.update_instances(self._members.sharing(now))
+        self._replicated_state.routing_state.expire_grace_periods(now)
+        self._placement.update_instances(self._members.region_by_limit_sharer(now))
         self._placement.update_failing_services(now)
         self._demand.update(UPDATE_INTERVAL_S)
         self._crash_registry.delete_expired(now)
-        zones = demand_of_zones(self._members, self._demand.rate_by_service, now)
+        zones = zone_demands(self._members, self._demand.rate_by_service, now)
         demand = [DemandReport(zone.region, zone.rate_by_service) for zone in zones]
         self._placement.update_region_shares(demand_by_region(demand))
         self._update_limits(now)
 
     def _update_limits(self, now: float) -> None:
-        organisations = self._replicated_state.routing_state.table.organisations
+        organisations = self._replicated_state.routing_state.route_table.organisations
         if not organisations.by_name:
             return
         self._limiter.retain_organisations(organisations)
-        fleet_usage = uses_of_fleet(self._members, self._limiter.usage_report(now), now)
+        fleet_usage = sum_fleet_usage(self._members, self._limiter.usage_report(now), now)
         size = fleet_size(self._members, now)
         self._limiter.update_fleet_usage(
-            fleet_usage, size, now, reports_are_recent=has_fresh_uses(self._members, now)
+            fleet_usage, size, now, reports_are_recent=has_current_fleet_usage(self._members, now)
         )
--- a/packages/node/src/plantainloft_node/fleet/beats.py
+++ b/packages/node/src/plantainloft_node/fleet/beats.py
@@ -12,45 +12,45 @@
 import anyio
 from anyio.abc import UDPSocket
 
-from plantainloft_node.fleet.intake import Hint, Intake
-from plantainloft_node.fleet.members import MemberBook
-from plantainloft_node.fleet.relaying import Message, Relaying
-from plantainloft_node.fleet.reports import Beat
+from plantainloft_node.fleet.intake import ReportReceiver, UpdateHint
+from plantainloft_node.fleet.members import FleetMembership
+from plantainloft_node.fleet.relaying import OutgoingDatagram, ReportPlanner
+from plantainloft_node.fleet.reports import Heartbeat
 from plantainloft_node.quarantine.crash_book import CrashRegistry
 
-__all__ = ['BEAT_S', 'BeatExchange']
+__all__ = ['HEARTBEAT_INTERVAL_S', 'HeartbeatExchange']
 
 log = logging.getLogger(__name__)
 
-BEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 # Delay before an urgent round. When a zone starts, many urgent changes arrive
 # together, and one round then carries all of them.
-URGENT_AFTER_S = 0.1
+URGENT_ROUND_DELAY_S = 0.1
 # Limits the log lines that an unknown sender of malformed datagrams can cause.
 MALFORMED_LOG_INTERVAL_S = 10.0
 
 
-class BeatExchange:
+class HeartbeatExchange:
     """Sends this instance's rounds of datagrams and receives those of its peers."""
 
     def __init__(
         self,
         *,
-        members: MemberBook,
-        state: Callable[[], Beat],
-        on_update_hint: Callable[[Hint], None],
+        members: FleetMembership,
+        own_heartbeat: Callable[[], Heartbeat],
+        on_update_hint: Callable[[UpdateHint], None],
         seeds: tuple[str, ...],
         crash_registry: CrashRegistry,
     ) -> None:
         self._members = members
         self._on_update_hint = on_update_hint
-        self._intake = Intake(members=members, crash_registry=crash_registry)
-        self._relaying = Relaying(
+        self._report_receiver = ReportReceiver(members=members, crash_registry=crash_registry)
+        self._report_planner = ReportPlanner(
             members=members,
-            intake=self._intake,
-            state=state,
+            report_receiver=self._report_receiver,
+            own_heartbeat=own_heartbeat,
             seeds=seeds,
-            chance=random.Random(),
+            rng=random.Random(),
             crash_registry=crash_registry,
         )
         self._socket: UDPSocket | None = None
@@ -61,54 +61,56 @@
 
     async def run(self) -> None:
         """Send and receive datagrams until cancelled."""
-        host, _, port = self._members.me.peer.rpartition(':')
+        host, _, port = self._members.local_member.heartbeat_address.rpartition(':')
         socket = await anyio.create_udp_socket(local_host=host, local_port=int(port))
         self._socket = socket
         async with socket, anyio.create_task_group() as tasks:
             tasks.start_soon(self._send_rounds)
             await self._receive(socket)
 
-    async def send_round(self, *, to_all: bool = False) -> None:
-        """Send a round now; ``to_all`` includes peers that are not due yet."""
-        for message in self._relaying.round(anyio.current_time(), to_all=to_all):
-            await self._send(message)
+    async def send_round(self, *, include_not_due: bool = False) -> None:
+        """Send a round now; ``include_not_due`` includes peers that are not due yet."""
+        for datagram in self._report_planner.plan_round(
+            anyio.current_time(), include_not_due=include_not_due
+        ):
+            await self._send(datagram)
 
-    def hurry(self) -> None:
-        """Schedule a round within ``URGENT_AFTER_S``."""
+    def request_round(self) -> None:
+        """Schedule a round within ``URGENT_ROUND_DELAY_S``."""
         self._round_requested.set()
 
-    async def tell_readers(self) -> None:
+    async def send_to_subscribers(self) -> None:
         """Send reports to subscribers, which do not poll the store themselves."""
-        for message in self._relaying.to_readers(anyio.current_time()):
-            await self._send(message)
+        for datagram in self._report_planner.datagrams_for_subscribers(anyio.current_time()):
+            await self._send(datagram)
 
     async def _send_rounds(self) -> None:
-        to_all = True
+        include_not_due = True
         while True:
-            await self.send_round(to_all=to_all)
+            await self.send_round(include_not_due=include_not_due)
             self._log_changes()
-            with anyio.move_on_after(BEAT_S):
+            with anyio.move_on_after(HEARTBEAT_INTERVAL_S):
                 await self._round_requested.wait()
-            to_all = self._round_requested.is_set()
-            if to_all:
-                await anyio.sleep(URGENT_AFTER_S)
+            include_not_due = self._round_requested.is_set()
+            if include_not_due:
+                await anyio.sleep(URGENT_ROUND_DELAY_S)
                 self._round_requested = anyio.Event()
 
-    async def _send(self, message: Message) -> None:
-        host, _, port = message.address.rpartition(':')
+    async def _send(self, datagram: OutgoingDatagram) -> None:
+        host, _, port = datagram.address.rpartition(':')
         if self._socket is None:
             return
         try:
             async with self._sending:
-                await self._socket.sendto(message.packed, host, int(port))
+                await self._socket.sendto(datagram.packed, host, int(port))
         except OSError as exc:
-            log.debug('Fleet: could not send a datagram to %s: %s', message.address, exc)
+            log.debug('Fleet: could not send a datagram to %s: %s', datagram.address, exc)
 
     async def _receive(self, socket: UDPSocket) -> None:
         while True:
             packed, (host, _) = await socket.receive()
             now = anyio.current_time()
-            result = self._intake.take(packed, host, now)
+            result = self._report_receiver.receive(packed, host, now)
             if result is None:
                 self._log_malformed(host, now)
                 continue
@@ -127,7 +129,7 @@
 
     def _log_changes(self) -> None:
         now = anyio.current_time()
-        up = {member.name for member in self._members.up(now)}
+        up = {member.name for member in self._members.peers_up(now)}
         joined, lost = up - self._previously_up, self._previously_up - up
         if joined or lost:
             log.info(
--- a/packages/node/src/plantainloft_node/fleet/demand.py
+++ b/packages/node/src/plantainloft_node/fleet/demand.py
@@ -3,15 +3,15 @@
 from collections.abc import Iterable, Mapping
 
 from plantainloft_node.fleet.heard import ReceivedHeartbeat, ZoneDemand
-from plantainloft_node.fleet.members import DOWN_AFTER_S, MemberBook
+from plantainloft_node.fleet.members import DOWN_AFTER_S, FleetMembership
 from plantainloft_node.limits.shares import FleetSize
 from plantainloft_node.limits.uses import OrganisationUsage, sum_usage
 
 __all__ = [
-    'demand_of_zones',
     'fleet_size',
-    'has_fresh_uses',
-    'uses_of_fleet',
+    'has_current_fleet_usage',
+    'sum_fleet_usage',
+    'zone_demands',
     'zone_heartbeats',
     'zone_request_rates',
     'zone_usage',
@@ -23,9 +23,9 @@
 REPORTED_USAGE_EXPIRY_S = 5.0
 
 
-def zone_heartbeats(members: MemberBook, now: float) -> list[ReceivedHeartbeat]:
+def zone_heartbeats(members: FleetMembership, now: float) -> list[ReceivedHeartbeat]:
     """Return the recent heartbeats of this instance's availability zone."""
-    return members.heartbeats.since(now - DOWN_AFTER_S, zone=members.me.zone)
+    return members.heartbeats.since(now - DOWN_AFTER_S, zone=members.local_member.zone)
 
 
 def zone_request_rates(
@@ -37,7 +37,7 @@
     """
     total = dict(own_rates)
     for received in heartbeats:
-        for service, rate in received.beat.rate_by_service.items():
+        for service, rate in received.heartbeat.rate_by_service.items():
             total[service] = total.get(service, 0.0) + rate
     return total
 
@@ -49,24 +49,24 @@
 
     ``own_usage`` is what organisations use of their limits at this instance.
     """
-    usage = [received.beat.usage_by_organisation for received in heartbeats]
+    usage = [received.heartbeat.usage_by_organisation for received in heartbeats]
     return sum_usage((own_usage, *usage))
 
 
-def uses_of_fleet(
-    members: MemberBook, own_usage: Mapping[int, OrganisationUsage], now: float
+def sum_fleet_usage(
+    members: FleetMembership, own_usage: Mapping[int, OrganisationUsage], now: float
 ) -> dict[int, OrganisationUsage]:
     """Return what organisations use of their limits in all availability zones."""
     reported = members.reported_usage
     if reported is not None and now - reported.at < DOWN_AFTER_S:
         return dict(reported.usage_by_organisation)
     demand_by_zone = members.zone_demands.by_zone(now)
-    demand_by_zone.pop(members.me.zone, None)
+    demand_by_zone.pop(members.local_member.zone, None)
     elsewhere = (zone.usage_by_organisation for zone in demand_by_zone.values())
     return sum_usage((zone_usage(zone_heartbeats(members, now), own_usage), *elsewhere))
 
 
-def has_fresh_uses(members: MemberBook, now: float) -> bool:
+def has_current_fleet_usage(members: FleetMembership, now: float) -> bool:
     """Return whether the fleet-wide usage known here is current.
 
     An instance that no relay reports usage to adds up the usage itself, which
@@ -79,26 +79,26 @@
     return age_s < FRESH_USAGE_S or age_s >= REPORTED_USAGE_EXPIRY_S
 
 
-def fleet_size(members: MemberBook, now: float) -> FleetSize:
+def fleet_size(members: FleetMembership, now: float) -> FleetSize:
     """Return how many instances share limits, and how many of them are reachable.
 
     An instance that receives no heartbeats counts only itself as reachable, even
     while the statuses of its peers have not expired yet.
     """
-    counted = members.sharing(now)
+    counted = members.region_by_limit_sharer(now)
     if members.heartbeats.newest_at() <= now - DOWN_AFTER_S:
         return FleetSize(known=len(counted), reporting=bool(counted))
     up = sum(members.is_up(name, now) for name in counted)
     return FleetSize(known=len(counted), reporting=up + bool(counted))
 
 
-def demand_of_zones(
-    members: MemberBook, own_rates: Mapping[str, float], now: float
+def zone_demands(
+    members: FleetMembership, own_rates: Mapping[str, float], now: float
 ) -> list[ZoneDemand]:
     """Return the demand of each availability zone."""
     demand_by_zone = members.zone_demands.by_zone(now)
-    if members.me.zone not in demand_by_zone:
+    if members.local_member.zone not in demand_by_zone:
         rates = zone_request_rates(zone_heartbeats(members, now), own_rates)
-        demand = ZoneDemand(members.me.region, rates)
-        demand_by_zone[members.me.zone] = demand
+        demand = ZoneDemand(members.local_member.region, rates)
+        demand_by_zone[members.local_member.zone] = demand
     return list(demand_by_zone.values())
--- a/packages/node/src/plantainloft_node/fleet/heard.py
+++ b/packages/node/src/plantainloft_node/fleet/heard.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from plantainloft_node.fleet.reports import NO_USAGE, Beat
+from plantainloft_node.fleet.reports import NO_USAGE, Heartbeat
 from plantainloft_node.limits.uses import OrganisationUsage
 
 __all__ = ['HeartbeatTable', 'ReceivedHeartbeat', 'ReportedUsage', 'ZoneDemand', 'ZoneDemandTable']
@@ -12,7 +12,7 @@
 class ReceivedHeartbeat(NamedTuple):
     """The newest heartbeat of an instance, and when it was received."""
 
-    beat: Beat
+    heartbeat: Heartbeat
     at: float
 
 
@@ -33,9 +33,9 @@
     def __init__(self) -> None:
         self._heartbeat_by_name: dict[str, ReceivedHeartbeat] = {}
 
-    def put(self, beat: Beat, now: float) -> None:
+    def put(self, heartbeat: Heartbeat, now: float) -> None:
         """Store a heartbeat received at ``now``."""
-        self._heartbeat_by_name[beat.member.name] = ReceivedHeartbeat(beat, now)
+        self._heartbeat_by_name[heartbeat.member.name] = ReceivedHeartbeat(heartbeat, now)
 
     def drop(self, name: str) -> None:
         """Remove the heartbeat of ``name``."""
@@ -57,7 +57,7 @@
         return [
             received
             for received in self._heartbeat_by_name.values()
-            if received.at > at and received.beat.member.zone == zone
+            if received.at > at and received.heartbeat.member.zone == zone
         ]
 
 
--- a/packages/node/src/plantainloft_node/fleet/intake.py
+++ b/packages/node/src/plantainloft_node/fleet/intake.py
@@ -4,11 +4,11 @@
 
 from plantainloft_node.fleet.datagrams import Datagram, PackedReport, unpack_datagram
 from plantainloft_node.fleet.heard import ReportedUsage
-from plantainloft_node.fleet.members import DOWN_AFTER_S, MemberBook
-from plantainloft_node.fleet.reports import Beat, FleetMember, ZoneReport
+from plantainloft_node.fleet.members import DOWN_AFTER_S, FleetMembership
+from plantainloft_node.fleet.reports import FleetMember, Heartbeat, ZoneReport
 from plantainloft_node.quarantine.crash_book import CrashRegistry
 
-__all__ = ['Hint', 'Intake', 'IntakeResult']
+__all__ = ['ReceiveResult', 'ReportReceiver', 'UpdateHint']
 
 # How long reports include the full record of an instance after it joined.
 INTRODUCTION_PERIOD_S = 3.0
@@ -20,22 +20,22 @@
 ROUND_JITTER_S = 0.1
 
 
-class Hint(NamedTuple):
+class UpdateHint(NamedTuple):
     """What ``member`` can be asked for: newer rows, and instances by key.
 
-    ``relayed`` is the heartbeat of ``member`` if it is a relay of this instance.
+    ``relay_heartbeat`` is the heartbeat of ``member`` if it is a relay of this instance.
     """
 
     member: FleetMember
-    newest_by_table: dict[str, int]
-    keys: tuple[int, ...]
-    relayed: Beat | None = None
+    newest_version_by_table: dict[str, int]
+    member_keys: tuple[int, ...]
+    relay_heartbeat: Heartbeat | None = None
 
 
-class IntakeResult(NamedTuple):
+class ReceiveResult(NamedTuple):
     """The result of a datagram; ``is_urgent`` asks for a round without delay."""
 
-    hints: tuple[Hint, ...]
+    hints: tuple[UpdateHint, ...]
     is_urgent: bool
 
 
@@ -54,10 +54,10 @@
     is_other_region: bool
 
 
-class Intake:
-    """Applies received reports to the member book and queues those to forward."""
+class ReportReceiver:
+    """Applies received reports to the membership and queues those to forward."""
 
-    def __init__(self, *, members: MemberBook, crash_registry: CrashRegistry) -> None:
+    def __init__(self, *, members: FleetMembership, crash_registry: CrashRegistry) -> None:
         self._members = members
         self._crash_registry = crash_registry
         self._version_by_sender: dict[str, _ReportVersion] = {}
@@ -66,7 +66,7 @@
         self._pending_by_zone: dict[str, _PendingReport] = {}
         self._forwarded_at_by_zone: dict[str, float] = {}
 
-    def take(self, packed: bytes, host: str, now: float) -> IntakeResult | None:
+    def receive(self, packed: bytes, host: str, now: float) -> ReceiveResult | None:
         """Process a datagram from ``host``; returns ``None`` if it is malformed."""
         datagram = unpack_datagram(packed)
         if datagram is None:
@@ -76,8 +76,8 @@
         if datagram.fleet_usage and self._is_sent_from(datagram.sender, host):
             self._members.reported_usage = ReportedUsage(datagram.fleet_usage, now)
         for item in datagram.reports:
-            member = item.report.beat.member
-            if member.name == datagram.sender and _host(member.peer) == host:
+            member = item.report.heartbeat.member
+            if member.name == datagram.sender and _host(member.heartbeat_address) == host:
                 if self._accept_if_newer(item.report, now):
                     hints.append(self._hint(item.report))
                     is_urgent |= self._apply_direct(item.report, item.packed, datagram, now)
@@ -87,7 +87,7 @@
             ):
                 hints += self._apply_forwarded(item.report, datagram.sender, item.report_age_s, now)
                 is_urgent |= self._merge_crashes(item.report, item.report_age_s, now)
-        return IntakeResult(tuple(hints), is_urgent)
+        return ReceiveResult(tuple(hints), is_urgent)
 
     def subscribers(self, now: float) -> list[FleetMember]:
         """Return the instances that recently asked for this instance's reports."""
@@ -117,19 +117,19 @@
         self, report: ZoneReport, packed: bytes, datagram: Datagram, now: float
     ) -> bool:
         """Apply a report that its sender sent directly; return whether it is urgent."""
-        member = report.beat.member
-        was_leaving = self._members.signs.is_leaving(member.name)
-        fresh = self._members.hear(report.beat, now)
+        member = report.heartbeat.member
+        was_draining = self._members.liveness.is_draining(member.name)
+        fresh = self._members.record_heartbeat(report.heartbeat, now)
         self._members.apply_report(report, now, forwarder_held_s=None)
         if fresh:
             self._joined_at_by_name[member.name] = now
         if datagram.wants_reports:
             self._subscribed_at_by_name[member.name] = now
-        if member.zone != self._members.me.zone and report.statuses:
-            is_other_region = member.region != self._members.me.region
+        if member.zone != self._members.local_member.zone and report.statuses:
+            is_other_region = member.region != self._members.local_member.region
             self._pending_by_zone[member.zone] = _PendingReport(packed, now, is_other_region)
-        leaves = report.beat.leaving and not was_leaving
-        return datagram.wants_reports and (fresh or leaves)
+        starts_draining = report.heartbeat.draining and not was_draining
+        return datagram.wants_reports and (fresh or starts_draining)
 
     def _merge_crashes(self, report: ZoneReport, report_age_s: float, now: float) -> bool:
         """Merge reported crashes; return whether subscribers need them without delay."""
@@ -138,22 +138,29 @@
 
     def _apply_forwarded(
         self, report: ZoneReport, sender: str, report_age_s: float, now: float
-    ) -> list[Hint]:
+    ) -> list[UpdateHint]:
         self._members.apply_report(report, now, forwarder_held_s=report_age_s)
-        return [Hint(member, {}, _status_keys(report)) for member in self._known_members([sender])]
+        return [
+            UpdateHint(member, {}, _status_keys(report)) for member in self._known_members([sender])
+        ]
 
-    def _hint(self, report: ZoneReport) -> Hint:
-        beat = report.beat
-        relays = beat.member.zone == self._members.me.zone and bool(report.statuses)
-        relayed = beat if relays else None
-        return Hint(beat.member, beat.newest_by_table, _status_keys(report), relayed)
+    def _hint(self, report: ZoneReport) -> UpdateHint:
+        heartbeat = report.heartbeat
+        relays = heartbeat.member.zone == self._members.local_member.zone and bool(report.statuses)
+        relay_heartbeat = heartbeat if relays else None
+        return UpdateHint(
+            heartbeat.member,
+            heartbeat.newest_version_by_table,
+            _status_keys(report),
+            relay_heartbeat,
+        )
 
     def _accept_if_newer(self, report: ZoneReport, now: float) -> bool:
         # Datagrams can be duplicated or reordered, and a report arrives over
         # several paths. Applying an old one would show down instances as up.
-        member = report.beat.member
+        member = report.heartbeat.member
         before = self._version_by_sender.get(member.name)
-        if member.name == self._members.me.name or self._is_stale(report, before, now):
+        if member.name == self._members.local_member.name or self._is_stale(report, before, now):
             return False
         self._version_by_sender[member.name] = _ReportVersion(member.incarnation, report.sequence)
         return True
@@ -161,20 +168,20 @@
     def _is_stale(self, report: ZoneReport, before: _ReportVersion | None, now: float) -> bool:
         if before is None:
             return False
-        member = report.beat.member
+        member = report.heartbeat.member
         if member.incarnation == before.incarnation:
             return report.sequence <= before.sequence
         # A smaller incarnation of an instance that is down may be a restart after
-        # its clock was set back; see ``MemberBook._supersedes``.
+        # its clock was set back; see ``FleetMembership._supersedes``.
         is_up = self._members.is_up(member.name, now)
         return is_up and member.incarnation < before.incarnation
 
     def _is_sent_from(self, name: str, host: str) -> bool:
-        sender = self._members.known.get(name)
-        return sender is not None and _host(sender.peer) == host
+        sender = self._members.registry.get(name)
+        return sender is not None and _host(sender.heartbeat_address) == host
 
     def _known_members(self, names: dict[str, float] | list[str]) -> list[FleetMember]:
-        known = (self._members.known.get(name) for name in names)
+        known = (self._members.registry.get(name) for name in names)
         return [member for member in known if member is not None]
 
     def _is_due(self, zone: str, pending: _PendingReport, now: float) -> bool:
--- a/packages/node/src/plantainloft_node/fleet/known.py
+++ b/packages/node/src/plantainloft_node/fleet/known.py
@@ -2,16 +2,16 @@
 
 from plantainloft_node.fleet.reports import FleetMember, member_key
 
-__all__ = ['KnownMembers']
+__all__ = ['MemberRegistry']
 
 
-class KnownMembers:
+class MemberRegistry:
     """All known instances except this one, by name and by key."""
 
-    def __init__(self, *, me: FleetMember) -> None:
-        self.me = me
+    def __init__(self, *, local_member: FleetMember) -> None:
+        self.local_member = local_member
         self._member_by_name: dict[str, FleetMember] = {}
-        self._name_by_key: dict[int, str] = {member_key(me): me.name}
+        self._name_by_key: dict[int, str] = {member_key(local_member): local_member.name}
         # Cached until the membership changes.
         self._members_by_zone: dict[str, list[FleetMember]] | None = None
 
@@ -23,14 +23,14 @@
         """Return the name of the instance with ``key``, which may be this one."""
         return self._name_by_key.get(key)
 
-    def everyone(self) -> list[FleetMember]:
+    def peers(self) -> list[FleetMember]:
         """Return all known instances except this one."""
         return list(self._member_by_name.values())
 
     def by_zone(self) -> dict[str, list[FleetMember]]:
         """Return all instances, including this one, by availability zone."""
         if self._members_by_zone is None:
-            self._members_by_zone = {self.me.zone: [self.me]}
+            self._members_by_zone = {self.local_member.zone: [self.local_member]}
             for member in self._member_by_name.values():
                 self._members_by_zone.setdefault(member.zone, []).append(member)
         return dict(self._members_by_zone)
--- a/packages/node/src/plantainloft_node/fleet/liveness.py
+++ b/packages/node/src/plantainloft_node/fleet/liveness.py
@@ -8,7 +8,7 @@
 class Liveness(NamedTuple):
     """The newest status of an instance; times are in seconds of the local clock.
 
-    ``follows``: the instance polls the store and reaches it.
+    ``polls_store``: the instance polls the store and reaches it.
 
     ``at``: when a heartbeat was last received, here or by a peer. ``until``: when
     the instance counts as down without a newer one. ``since``: start of the
@@ -16,8 +16,8 @@
     """
 
     ready: bool
-    leaving: bool
-    follows: bool
+    draining: bool
+    polls_store: bool
     at: float
     until: float
     since: float
@@ -38,16 +38,16 @@
         was_up = now < known.until
         newest = reported if reported.at >= known.at else known
         self._liveness_by_name[name] = newest._replace(
-            # Leaving is never revoked. Of two peers that report the instance,
+            # Draining is never revoked. Of two peers that report the instance,
             # the one that has not learned of it yet would bring callers back.
-            leaving=reported.leaving or known.leaving,
+            draining=reported.draining or known.draining,
             until=max(reported.until, known.until),
             since=known.since if was_up else reported.at,
         )
         return not was_up
 
     def drop(self, name: str) -> None:
-        """Remove the liveness of ``name``, which is gone or has restarted."""
+        """Remove the liveness of ``name``, which was replaced or has restarted."""
         self._liveness_by_name.pop(name, None)
 
     def get(self, name: str) -> Liveness | None:
@@ -59,22 +59,22 @@
         liveness = self._liveness_by_name.get(name)
         return liveness is not None and now < liveness.until
 
-    def is_leaving(self, name: str) -> bool:
+    def is_draining(self, name: str) -> bool:
         """Return whether ``name`` has announced that it is shutting down."""
         liveness = self._liveness_by_name.get(name)
-        return liveness is not None and liveness.leaving
+        return liveness is not None and liveness.draining
 
     def is_available(self, name: str) -> bool:
-        """Return whether ``name`` was last reported as ready and is not leaving."""
+        """Return whether ``name`` was last reported as ready and is not draining."""
         liveness = self._liveness_by_name.get(name)
-        return liveness is not None and liveness.ready and not liveness.leaving
+        return liveness is not None and liveness.ready and not liveness.draining
 
-    def is_following(self, name: str) -> bool:
+    def polls_store(self, name: str) -> bool:
         """Return whether ``name`` last reported that it reaches the store."""
         liveness = self._liveness_by_name.get(name)
-        return liveness is not None and liveness.follows
+        return liveness is not None and liveness.polls_store
 
-    def up_for_s(self, name: str, now: float) -> float:
+    def uptime_s(self, name: str, now: float) -> float:
         """Return how long ``name`` has been up without interruption."""
         liveness = self._liveness_by_name.get(name)
         return now - liveness.since if liveness is not None and now < liveness.until else 0.0
--- a/packages/node/src/plantainloft_node/fleet/members.py
+++ b/packages/node/src/plantainloft_node/fleet/members.py
@@ -6,11 +6,11 @@
     ZoneDemand,
     ZoneDemandTable,
 )
-from plantainloft_node.fleet.known import KnownMembers
+from plantainloft_node.fleet.known import MemberRegistry
 from plantainloft_node.fleet.liveness import Liveness, LivenessTable
-from plantainloft_node.fleet.reports import Beat, FleetMember, MemberStatus, ZoneReport
+from plantainloft_node.fleet.reports import FleetMember, Heartbeat, MemberStatus, ZoneReport
 
-__all__ = ['DOWN_AFTER_S', 'GONE_AFTER_S', 'Beat', 'FleetMember', 'MemberBook']
+__all__ = ['DOWN_AFTER_S', 'REPLACED_AFTER_S', 'FleetMember', 'FleetMembership', 'Heartbeat']
 
 # Heartbeats are sent twice a second and some are lost: an instance counts as
 # down when three in a row are missing. Callers that are sent to an instance
@@ -28,52 +28,61 @@
 # An instance not heard from for this long counts as replaced, not partitioned:
 # users plan for region outages of up to an hour, and an instance that returns
 # from a longer one registers again by its heartbeats.
-GONE_AFTER_S = 7200.0
+REPLACED_AFTER_S = 7200.0
 
 
-class MemberBook:
+class FleetMembership:
     """All known instances, their liveness, and the demand of their zones."""
 
-    def __init__(self, *, me: FleetMember) -> None:
-        self.me = me
-        self.known = KnownMembers(me=me)
-        self.signs = LivenessTable()
+    def __init__(self, *, local_member: FleetMember) -> None:
+        self.local_member = local_member
+        self.registry = MemberRegistry(local_member=local_member)
+        self.liveness = LivenessTable()
         self.heartbeats = HeartbeatTable()
         self.zone_demands = ZoneDemandTable()
         self.reported_usage: ReportedUsage | None = None
-        self._learned_at_by_name: dict[str, float] = {}
+        self._added_at_by_name: dict[str, float] = {}
         # Whether the list of all instances was read since this process started.
-        self.listed = False
+        self.has_member_list = False
 
-    def learn(self, member: FleetMember, now: float) -> bool:
+    def add_member(self, member: FleetMember, now: float) -> bool:
         """Add an instance reported by others; return whether it is new."""
-        if member.name == self.me.name:
+        if member.name == self.local_member.name:
             return False
-        known = self.known.get(member.name)
+        known = self.registry.get(member.name)
         if known is not None and not self._supersedes(member, known, now):
             return False
         self._register(member)
-        self._learned_at_by_name[member.name] = now
+        self._added_at_by_name[member.name] = now
         return known is None
 
-    def hear(self, beat: Beat, now: float) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Record a heartbeat; return whether its sender was unknown or down."""
-        name = beat.member.name
-        if name == self.me.name:
+        name = heartbeat.member.name
+        if name == self.local_member.name:
             return False
-        known = self.known.get(name)
-        is_same_incarnation = known is not None and known.incarnation == beat.member.incarnation
+        known = self.registry.get(name)
+        is_same_incarnation = (
+            known is not None and known.incarnation == heartbeat.member.incarnation
+        )
         if (
             known is not None
             and not is_same_incarnation
-            and not self._supersedes(beat.member, known, now)
+            and not self._supersedes(heartbeat.member, known, now)
         ):
             return False
-        self._register(beat.member)
-        self.heartbeats.put(beat, now)
+        self._register(heartbeat.member)
+        self.heartbeats.put(heartbeat, now)
         until = now + DOWN_AFTER_S
-        liveness = Liveness(beat.ready, beat.leaving, beat.follows, at=now, until=until, since=now)
-        return self.signs.record(name, liveness, now)
+        liveness = Liveness(
+            heartbeat.ready,
+            heartbeat.draining,
+            heartbeat.polls_store,
+            at=now,
+            until=until,
+            since=now,
+        )
+        return self.liveness.record(name, liveness, now)
 
     def apply_report(
         self, report: ZoneReport, now: float, *, forwarder_held_s: float | None
@@ -83,10 +92,12 @@
         ``forwarder_held_s`` is how long the forwarder held the report, in seconds;
         ``None`` if its sender sent it directly.
         """
-        sender = report.beat.member
+        sender = report.heartbeat.member
         for member in (sender, *report.introduced):
-            self.learn(member, now)
-        timeout_s = _liveness_timeout_s(self.me, sender, is_forwarded=forwarder_held_s is not None)
+            self.add_member(member, now)
+        timeout_s = _liveness_timeout_s(
+            self.local_member, sender, is_forwarded=forwarder_held_s is not None
+        )
         sent_at = now - (forwarder_held_s or 0.0)
         for status in report.statuses:
             self._apply_status(status, sent_at, timeout_s, now)
@@ -98,44 +109,44 @@
 
     def is_up(self, name: str, now: float) -> bool:
         """Return whether ``name`` is up, by its heartbeats here or at a peer."""
-        return self.signs.is_up(name, now)
+        return self.liveness.is_up(name, now)
 
-    def everyone(self) -> list[FleetMember]:
+    def peers(self) -> list[FleetMember]:
         """Return all known instances except this one."""
-        return self.known.everyone()
+        return self.registry.peers()
 
-    def counted(self, now: float) -> list[FleetMember]:
+    def peers_sharing_limits(self, now: float) -> list[FleetMember]:
         """Return the other instances that count for shared limits."""
-        return [member for member in self.everyone() if self._counts(member.name, now)]
+        return [member for member in self.peers() if self._shares_limits(member.name, now)]
 
-    def is_gone(self, name: str, now: float) -> bool:
-        """Return whether ``name`` is known and silent for ``GONE_AFTER_S``."""
-        known = self.known.get(name)
-        return known is not None and now - self._last_seen_at(name, now) >= GONE_AFTER_S
+    def is_replaced(self, name: str, now: float) -> bool:
+        """Return whether ``name`` is known and silent for ``REPLACED_AFTER_S``."""
+        known = self.registry.get(name)
+        return known is not None and now - self._last_seen_at(name, now) >= REPLACED_AFTER_S
 
-    def forget_gone(self, now: float) -> list[str]:
-        """Remove the instances that are gone; return their names.
+    def remove_replaced(self, now: float) -> list[str]:
+        """Remove the replaced instances; return their names.
 
         Addresses are not reused. Without the removal, heartbeats would go to
         thousands of dead addresses after years of replaced instances.
         """
-        gone = [member.name for member in self.everyone() if self.is_gone(member.name, now)]
-        for name in gone:
-            self.known.drop(name)
-            self.signs.drop(name)
+        replaced = [member.name for member in self.peers() if self.is_replaced(member.name, now)]
+        for name in replaced:
+            self.registry.drop(name)
+            self.liveness.drop(name)
             self.heartbeats.drop(name)
-            self._learned_at_by_name.pop(name, None)
-        return gone
+            self._added_at_by_name.pop(name, None)
+        return replaced
 
-    def up(self, now: float) -> list[FleetMember]:
+    def peers_up(self, now: float) -> list[FleetMember]:
         """Return the other instances that are up."""
-        return [member for member in self.everyone() if self.signs.is_up(member.name, now)]
+        return [member for member in self.peers() if self.liveness.is_up(member.name, now)]
 
-    def serving(self, now: float) -> list[FleetMember]:
-        """Return the other instances that are up, ready and not leaving."""
-        return [member for member in self.up(now) if self.signs.is_available(member.name)]
+    def serving_peers(self, now: float) -> list[FleetMember]:
+        """Return the other instances that are up, ready and not draining."""
+        return [member for member in self.peers_up(now) if self.liveness.is_available(member.name)]
 
-    def sharing(self, now: float) -> dict[str, str]:
+    def region_by_limit_sharer(self, now: float) -> dict[str, str]:
         """Return the regions of the instances that share limits, by instance name.
 
         Includes this instance. Instances that are listed but have sent no
@@ -144,31 +155,31 @@
         count because they may go on sending requests. The result is empty until
         the list of instances was read, as no share is known before.
         """
-        if not self.listed:
+        if not self.has_member_list:
             return {}
-        sharing = sorted((*self.counted(now), self.me))
-        return {member.name: member.region for member in sharing}
+        sharers = sorted((*self.peers_sharing_limits(now), self.local_member))
+        return {member.name: member.region for member in sharers}
 
     def _register(self, member: FleetMember) -> None:
-        if self.known.put(member):
-            # The status of the former incarnation, such as leaving, is obsolete.
-            self.signs.drop(member.name)
+        if self.registry.put(member):
+            # The status of the former incarnation, such as draining, is obsolete.
+            self.liveness.drop(member.name)
             self.heartbeats.drop(member.name)
 
     def _apply_status(
         self, status: MemberStatus, sent_at: float, timeout_s: float, now: float
     ) -> None:
-        name = self.known.name_of(status.key)
+        name = self.registry.name_of(status.key)
         at = sent_at - status.age_s
         # An expired status says nothing about the present. Recording it would
         # interrupt the time up.
-        if name is None or name == self.me.name or at + timeout_s <= now:
+        if name is None or name == self.local_member.name or at + timeout_s <= now:
             return
         until = at + timeout_s
         liveness = Liveness(
-            status.ready, status.leaving, status.follows, at=at, until=until, since=at
+            status.ready, status.draining, status.polls_store, at=at, until=until, since=at
         )
-        self.signs.record(name, liveness, now)
+        self.liveness.record(name, liveness, now)
 
     def _supersedes(self, member: FleetMember, known: FleetMember, now: float) -> bool:
         # Incarnations are start times. An instance that restarts after its clock
@@ -180,20 +191,22 @@
         return member.incarnation < known.incarnation and not self.is_up(known.name, now)
 
     def _last_seen_at(self, name: str, now: float) -> float:
-        liveness = self.signs.get(name)
-        learned_at = self._learned_at_by_name.get(name, now if liveness is None else liveness.at)
-        return learned_at if liveness is None else max(liveness.at, learned_at)
+        liveness = self.liveness.get(name)
+        added_at = self._added_at_by_name.get(name, now if liveness is None else liveness.at)
+        return added_at if liveness is None else max(liveness.at, added_at)
 
-    def _counts(self, name: str, now: float) -> bool:
-        liveness = self.signs.get(name)
+    def _shares_limits(self, name: str, now: float) -> bool:
+        liveness = self.liveness.get(name)
         if liveness is None:
-            return now - self._learned_at_by_name.get(name, now) < UNCOUNTED_AFTER_S
-        if liveness.leaving and now >= liveness.until:
+            return now - self._added_at_by_name.get(name, now) < UNCOUNTED_AFTER_S
+        if liveness.draining and now >= liveness.until:
             return False
         return now - liveness.at < UNCOUNTED_AFTER_S
 
 
-def _liveness_timeout_s(me: FleetMember, sender: FleetMember, *, is_forwarded: bool) -> float:
-    if sender.region == me.region:
+def _liveness_timeout_s(
+    local_member: FleetMember, sender: FleetMember, *, is_forwarded: bool
+) -> float:
+    if sender.region == local_member.region:
         return INDIRECT_DOWN_AFTER_S
     return FORWARDED_DOWN_AFTER_S if is_forwarded else CROSS_REGION_DOWN_AFTER_S
--- a/packages/node/src/plantainloft_node/fleet/ranking.py
+++ b/packages/node/src/plantainloft_node/fleet/ranking.py
@@ -5,32 +5,41 @@
 
 from collections.abc import Iterable
 
-from plantainloft_node.fleet.members import MemberBook
+from plantainloft_node.fleet.members import FleetMembership
 from plantainloft_node.fleet.reports import FleetMember
 from plantainloft_node.placing.affinity import rendezvous_score
 
-__all__ = ['RELAYS', 'down_members', 'is_answering', 'ranked_in', 'relays_in', 'report_targets']
+__all__ = [
+    'RELAYS_PER_ZONE',
+    'down_members',
+    'is_responsive',
+    'ranked_members',
+    'report_targets',
+    'zone_relays',
+]
 
 # Relays per availability zone. With two, one may be lost, slow or partitioned
 # without effect.
-RELAYS = 2
+RELAYS_PER_ZONE = 2
 # Additional instances that receive reports while relays are unresponsive.
 STANDBYS = 2
 # Two reports in a row are missing.
 UNRESPONSIVE_AFTER_S = 1.2
 
 
-def relays_in(zone: Iterable[FleetMember], members: MemberBook, now: float) -> list[FleetMember]:
+def zone_relays(
+    zone: Iterable[FleetMember], members: FleetMembership, now: float
+) -> list[FleetMember]:
     """Return the relays of ``zone``: its highest ranked instances.
 
-    Only instances that are up and not leaving are considered. This instance
+    Only instances that are up and not draining are considered. This instance
     always counts as one of them, and is a relay if it is alone in its zone.
     """
-    return ranked_in(zone, members, now)[:RELAYS]
+    return ranked_members(zone, members, now)[:RELAYS_PER_ZONE]
 
 
 def report_targets(
-    zone: Iterable[FleetMember], members: MemberBook, now: float
+    zone: Iterable[FleetMember], members: FleetMembership, now: float
 ) -> list[FleetMember]:
     """Return the instances of its own zone that this instance sends reports to.
 
@@ -40,43 +49,49 @@
     its zone until the next ones answer.
     """
     targets: list[FleetMember] = []
-    answering = 0
-    for member in ranked_in(zone, members, now)[: RELAYS + STANDBYS]:
-        if answering < RELAYS:
+    responsive = 0
+    for member in ranked_members(zone, members, now)[: RELAYS_PER_ZONE + STANDBYS]:
+        if responsive < RELAYS_PER_ZONE:
             targets.append(member)
-            answering += member == members.me or is_answering(member, members, now)
-    return [member for member in targets if member != members.me]
+            responsive += member == members.local_member or is_responsive(member, members, now)
+    return [member for member in targets if member != members.local_member]
 
 
-def down_members(zone: Iterable[FleetMember], members: MemberBook, now: float) -> list[FleetMember]:
+def down_members(
+    zone: Iterable[FleetMember], members: FleetMembership, now: float
+) -> list[FleetMember]:
     """Return the other instances of ``zone`` that are not up."""
     return [
-        member for member in zone if member != members.me and not members.is_up(member.name, now)
+        member
+        for member in zone
+        if member != members.local_member and not members.is_up(member.name, now)
     ]
 
 
-def ranked_in(zone: Iterable[FleetMember], members: MemberBook, now: float) -> list[FleetMember]:
-    """Return the instances of ``zone`` that are up and not leaving, by rank.
+def ranked_members(
+    zone: Iterable[FleetMember], members: FleetMembership, now: float
+) -> list[FleetMember]:
+    """Return the instances of ``zone`` that are up and not draining, by rank.
 
     Includes this instance if it is in ``zone``.
     """
-    staying = [
+    not_draining = [
         member
         for member in zone
-        if member == members.me or _is_up_and_staying(member, members, now)
+        if member == members.local_member or _is_up_and_not_draining(member, members, now)
     ]
-    return sorted(staying, key=_rank, reverse=True)
+    return sorted(not_draining, key=_rank, reverse=True)
 
 
 def _rank(member: FleetMember) -> tuple[int, str]:
     return rendezvous_score('relay', member.name), member.name
 
 
-def is_answering(member: FleetMember, members: MemberBook, now: float) -> bool:
+def is_responsive(member: FleetMember, members: FleetMembership, now: float) -> bool:
     """Return whether ``member`` has recently sent a heartbeat to this instance."""
     heard_at = members.heartbeats.at(member.name)
     return heard_at is not None and now - heard_at < UNRESPONSIVE_AFTER_S
 
 
-def _is_up_and_staying(member: FleetMember, members: MemberBook, now: float) -> bool:
-    return members.is_up(member.name, now) and not members.signs.is_leaving(member.name)
+def _is_up_and_not_draining(member: FleetMember, members: FleetMembership, now: float) -> bool:
+    return members.is_up(member.name, now) and not members.liveness.is_draining(member.name)
--- a/packages/node/src/plantainloft_node/fleet/report_codec.py
+++ b/packages/node/src/plantainloft_node/fleet/report_codec.py
@@ -6,7 +6,7 @@
 
 import msgpack
 
-from plantainloft_node.fleet.reports import Beat, FleetMember, MemberStatus, ZoneReport
+from plantainloft_node.fleet.reports import FleetMember, Heartbeat, MemberStatus, ZoneReport
 from plantainloft_node.limits.uses import decode_usage, encode_usage
 from plantainloft_node.quarantine.crash_codec import pack_crashes, unpack_crashes
 
@@ -17,8 +17,8 @@
 DECODE_ERRORS = (ValueError, TypeError, IndexError, msgpack.UnpackException, struct.error)
 _STATUS_STRUCT = struct.Struct('<IBB')
 _READY_FLAG = 1
-_LEAVING_FLAG = 2
-_FOLLOWS_FLAG = 4
+_DRAINING_FLAG = 2
+_POLLS_STORE_FLAG = 4
 _TENTHS_PER_SECOND = 10
 _MAX_AGE_TENTHS = 255
 
@@ -28,7 +28,7 @@
     packed: bytes = msgpack.packb(
         [
             report.sequence,
-            _beat_fields(report.beat),
+            _heartbeat_fields(report.heartbeat),
             _rounded(report.zone_rate_by_service),
             [
                 b''.join(_pack_status(status) for status in report.statuses),
@@ -43,7 +43,7 @@
 
 def unpack_report(packed: bytes) -> ZoneReport:
     """Decode ``packed``; raises one of ``DECODE_ERRORS``."""
-    sequence, raw_beat, zone_rates, lists = msgpack.unpackb(packed)
+    sequence, raw_heartbeat, zone_rates, lists = msgpack.unpackb(packed)
     statuses, introduced, crashes, uses = lists
     if len(introduced) > MAX_INTRODUCED:
         raise ValueError(
@@ -51,7 +51,7 @@
         )
     return ZoneReport(
         sequence=require_type(sequence, int),
-        beat=_parse_beat(*raw_beat),
+        heartbeat=_parse_heartbeat(*raw_heartbeat),
         zone_rate_by_service=_parse_rates(zone_rates),
         statuses=tuple(_parse_statuses(require_type(statuses, bytes))),
         introduced=tuple(_parse_member(member) for member in introduced),
@@ -60,16 +60,28 @@
     )
 
 
-def _parse_beat(member: Any, flags: Any, newest: Any, rates: Any, served_s: Any, uses: Any) -> Beat:
-    ready, leaving, follows = (require_type(flag, bool) for flag in flags)
-    return Beat(
+def _parse_heartbeat(
+    member: Any,
+    flags: Any,
+    newest_version_by_table: Any,
+    rates: Any,
+    available_for_s: Any,
+    uses: Any,
+) -> Heartbeat:
+    ready, draining, polls_store = (require_type(flag, bool) for flag in flags)
+    return Heartbeat(
         member=_parse_member(member),
         ready=ready,
-        leaving=leaving,
-        newest_by_table={require_type(key, str): require_type(newest[key], int) for key in newest},
+        draining=draining,
+        newest_version_by_table={
+            require_type(key, str): require_type(newest_version_by_table[key], int)
+            for key in newest_version_by_table
+        },
         rate_by_service=_parse_rates(rates),
-        follows=follows,
-        store_served_s=None if served_s is None else require_non_negative(served_s),
+        polls_store=polls_store,
+        store_available_for_s=None
+        if available_for_s is None
+        else require_non_negative(available_for_s),
         usage_by_organisation=decode_usage(require_type(uses, bytes)),
     )
 
@@ -77,7 +89,13 @@
 def _parse_member(raw: Any) -> FleetMember:
     member = FleetMember(*raw)
     require_type(member.incarnation, int)
-    for text in (member.name, member.region, member.zone, member.front, member.peer):
+    for text in (
+        member.name,
+        member.region,
+        member.zone,
+        member.caller_address,
+        member.heartbeat_address,
+    ):
         require_type(text, str)
     return member
 
@@ -91,22 +109,31 @@
         yield MemberStatus(
             key=key,
             ready=bool(flags & _READY_FLAG),
-            leaving=bool(flags & _LEAVING_FLAG),
-            follows=bool(flags & _FOLLOWS_FLAG),
+            draining=bool(flags & _DRAINING_FLAG),
+            polls_store=bool(flags & _POLLS_STORE_FLAG),
             age_s=tenths / _TENTHS_PER_SECOND,
         )
 
 
-def _beat_fields(beat: Beat) -> list[Any]:
-    rates = _rounded(beat.rate_by_service)
-    flags = [beat.ready, beat.leaving, beat.follows]
-    uses = encode_usage(beat.usage_by_organisation)
-    return [list(beat.member), flags, beat.newest_by_table, rates, beat.store_served_s, uses]
+def _heartbeat_fields(heartbeat: Heartbeat) -> list[Any]:
+    rates = _rounded(heartbeat.rate_by_service)
+    flags = [heartbeat.ready, heartbeat.draining, heartbeat.polls_store]
+    uses = encode_usage(heartbeat.usage_by_organisation)
+    return [
+        list(heartbeat.member),
+        flags,
+        heartbeat.newest_version_by_table,
+        rates,
+        heartbeat.store_available_for_s,
+        uses,
+    ]
 
 
 def _pack_status(status: MemberStatus) -> bytes:
     flags = (
-        _READY_FLAG * status.ready | _LEAVING_FLAG * status.leaving | _FOLLOWS_FLAG * status.follows
+        _READY_FLAG * status.ready
+        | _DRAINING_FLAG * status.draining
+        | _POLLS_STORE_FLAG * status.polls_store
     )
     tenths = min(_MAX_AGE_TENTHS, round(status.age_s * _TENTHS_PER_SECOND))
     return _STATUS_STRUCT.pack(status.key, flags, tenths)
--- a/packages/node/src/plantainloft_node/fleet/reports.py
+++ b/packages/node/src/plantainloft_node/fleet/reports.py
@@ -8,7 +8,7 @@
 from plantainloft_node.placing.affinity import rendezvous_score
 from plantainloft_node.quarantine.crashes import CrashReport
 
-__all__ = ['NO_USAGE', 'Beat', 'FleetMember', 'MemberStatus', 'ZoneReport', 'member_key']
+__all__ = ['NO_USAGE', 'FleetMember', 'Heartbeat', 'MemberStatus', 'ZoneReport', 'member_key']
 
 NO_USAGE: Mapping[int, OrganisationUsage] = MappingProxyType({})
 
@@ -16,8 +16,8 @@
 class FleetMember(NamedTuple):
     """An entry instance: its location, its addresses and its ``incarnation``.
 
-    ``incarnation`` is the time of its start. ``front`` is the address for callers,
-    ``peer`` the one for heartbeats and calls between instances; both are
+    ``incarnation`` is the time of its start. ``caller_address`` is the address for callers,
+    ``heartbeat_address`` the one for heartbeats and calls between instances; both are
     ``host:port``.
     """
 
@@ -25,16 +25,16 @@
     incarnation: int
     region: str
     zone: str
-    front: str
-    peer: str
+    caller_address: str
+    heartbeat_address: str
 
 
-class Beat(NamedTuple):
+class Heartbeat(NamedTuple):
     """The heartbeat of an instance, sent twice a second.
 
-    ``newest_by_table`` has the newest row version that the instance knows of each
-    table, ``rate_by_service`` its callers' requests per second. ``follows`` says
-    whether it polls the store and reaches it. ``store_served_s`` is how long the
+    ``newest_version_by_table`` has the newest row version that the instance knows of each
+    table, ``rate_by_service`` its callers' requests per second. ``polls_store`` says
+    whether it polls the store and reaches it. ``store_available_for_s`` is how long the
     store has been available as far as the instance knows, in seconds, or ``None``
     while it is unavailable. ``usage_by_organisation`` is what the organisations of
     its callers use of their limits, by organisation number.
@@ -42,11 +42,11 @@
 
     member: FleetMember
     ready: bool
-    leaving: bool
-    newest_by_table: dict[str, int]
+    draining: bool
+    newest_version_by_table: dict[str, int]
     rate_by_service: dict[str, float]
-    follows: bool = False
-    store_served_s: float | None = None
+    polls_store: bool = False
+    store_available_for_s: float | None = None
     usage_by_organisation: Mapping[int, OrganisationUsage] = NO_USAGE
 
 
@@ -55,8 +55,8 @@
 
     key: int
     ready: bool
-    leaving: bool
-    follows: bool
+    draining: bool
+    polls_store: bool
     age_s: float
 
 
@@ -75,7 +75,7 @@
     """
 
     sequence: int
-    beat: Beat
+    heartbeat: Heartbeat
     zone_rate_by_service: dict[str, float]
     statuses: tuple[MemberStatus, ...]
     introduced: tuple[FleetMember, ...]
--- a/packages/node/src/plantainloft_node/replica/beliefs.py
+++ b/packages/node/src/plantainloft_node/replica/beliefs.py
@@ -12,27 +12,27 @@
     Change,
     EndpointListed,
     EndpointUnreadable,
-    NewsRow,
     RoutesDeclared,
+    StoreRow,
     ZoneEvacuation,
 )
-from plantainloft_node.replica.store_watch import LAPSE_GRACE_S, StoreWatch
+from plantainloft_node.replica.store_watch import ROW_EXPIRY_GRACE_S, StoreAvailability
 
-__all__ = ['Beliefs']
+__all__ = ['RoutingState']
 
 log = logging.getLogger(__name__)
 
 DEFAULT_WARMUP_S = 3.0
 
 
-class Beliefs:
+class RoutingState:
     """Routes, endpoints and evacuations in force at this instance."""
 
     def __init__(
         self,
         *,
         endpoint_registry: EndpointRegistry,
-        decode: Callable[[NewsRow], Change | Invalid | None],
+        decode: Callable[[StoreRow], Change | Invalid | None],
     ) -> None:
         self._endpoint_registry = endpoint_registry
         self._decode = decode
@@ -40,11 +40,11 @@
         # Endpoints kept in use after their rows were removed, each with the end of
         # its grace period.
         self._grace_until_by_id: dict[str, float] = {}
-        self.store = StoreWatch()
-        self.table: RouteTable = EMPTY_ROUTE_TABLE
-        self.table_since = 0.0
+        self.store_availability = StoreAvailability()
+        self.route_table: RouteTable = EMPTY_ROUTE_TABLE
+        self.route_table_since = 0.0
 
-    def take(self, rows: Iterable[NewsRow], now: float, *, source: str) -> None:
+    def apply_rows(self, rows: Iterable[StoreRow], now: float, *, source: str) -> None:
         """Apply new rows; ``source`` is where they came from, for the log."""
         for row in rows:
             change = self._decode(row)
@@ -57,11 +57,11 @@
             elif change is not None:
                 self._apply(change, row, now, source)
 
-    def tick(self, now: float) -> None:
+    def expire_grace_periods(self, now: float) -> None:
         """Drop endpoints in grace whose rows have not come back or cannot have expired."""
-        lapses = self.store.may_have_lapsed(now)
+        rows_may_have_expired = self.store_availability.may_have_expired(now)
         for endpoint_id, until in list(self._grace_until_by_id.items()):
-            if now >= until or not lapses:
+            if now >= until or not rows_may_have_expired:
                 self._grace_until_by_id.pop(endpoint_id)
                 self._endpoint_registry.remove(endpoint_id)
                 log.info(
@@ -70,10 +70,10 @@
                     extra={'kind': 'dropped', 'fields': {'row': endpoint_id}},
                 )
 
-    def _apply(self, change: Change, row: NewsRow, now: float, source: str) -> None:
+    def _apply(self, change: Change, row: StoreRow, now: float, source: str) -> None:
         fields: dict[str, object] = {'row': row.key, 'row_version': row.version, 'source': source}
         if isinstance(change, RoutesDeclared):
-            if change.table.version < self.table.version:
+            if change.table.version < self.route_table.version:
                 return
             self._apply_routes(change.table, now)
             fields['version'] = change.table.version
@@ -94,24 +94,24 @@
             fields['problem'] = change.problem
         else:
             fields['used_on_s'] = self._handle_removal(change.endpoint_id, now)
-            fields['store_served_s'] = _rounded(self.store.served_s(now))
+            fields['store_served_s'] = _rounded(self.store_availability.available_for_s(now))
         log.info(
             'Replica: %s.',
             type(change).__name__,
             extra={'kind': 'belief', 'fields': fields},
         )
 
-    def _apply_routes(self, table: RouteTable, now: float) -> None:
-        self.table = table
-        self.table_since = now
-        for service, longest_s in longest_timeout_by_service(table).items():
+    def _apply_routes(self, route_table: RouteTable, now: float) -> None:
+        self.route_table = route_table
+        self.route_table_since = now
+        for service, longest_s in longest_timeout_by_service(route_table).items():
             self._endpoint_registry.latency_of(service).longest_timeout_s = longest_s
 
     def _apply_evacuation(self, change: ZoneEvacuation, now: float) -> None:
         changed = frozenset((change.zone,))
         zones = self._evacuated | changed if change.evacuated else self._evacuated - changed
         self._evacuated = zones
-        warmups = [limits.warmup_s for limits in self.table.services_by_name.values()]
+        warmups = [limits.warmup_s for limits in self.route_table.services_by_name.values()]
         warmup_s = max(warmups, default=DEFAULT_WARMUP_S)
         self._endpoint_registry.update_evacuated_zones(zones, warmup_s=warmup_s, now=now)
 
@@ -122,11 +122,11 @@
         """
         state = self._endpoint_registry.by_id.get(endpoint_id)
         may_be_alive = state is not None and not state.record.draining
-        if may_be_alive and self.store.may_have_lapsed(now):
-            self._grace_until_by_id[endpoint_id] = now + LAPSE_GRACE_S
-            if self.store.served_s(now) is None:
-                self.store.request_peer_check()
-            return LAPSE_GRACE_S
+        if may_be_alive and self.store_availability.may_have_expired(now):
+            self._grace_until_by_id[endpoint_id] = now + ROW_EXPIRY_GRACE_S
+            if self.store_availability.available_for_s(now) is None:
+                self.store_availability.request_peer_check()
+            return ROW_EXPIRY_GRACE_S
         self._grace_until_by_id.pop(endpoint_id, None)
         self._endpoint_registry.remove(endpoint_id)
         return 0.0
--- a/packages/node/src/plantainloft_node/replica/news.py
+++ b/packages/node/src/plantainloft_node/replica/news.py
@@ -1,6 +1,6 @@
 """Rows of the platform's tables, the changes they decode to, and the store interface.
 
-Instances follow two tables of the store, the operator's declarations and the
+Instances poll two tables of the store, the operator's declarations and the
 endpoints, and maintain a table of the instances themselves.
 """
 
@@ -22,10 +22,10 @@
     'EndpointListed',
     'EndpointUnreadable',
     'HistoryLost',
-    'News',
-    'NewsRow',
-    'NewsStore',
     'RoutesDeclared',
+    'RowBatch',
+    'StoreRow',
+    'TableStore',
     'ZoneEvacuation',
 ]
 
@@ -35,7 +35,7 @@
 QUARANTINE = 'quarantine'
 
 
-class NewsRow(NamedTuple):
+class StoreRow(NamedTuple):
     """One row as of ``version``; ``content`` is ``None`` if the row was removed."""
 
     table: str
@@ -44,10 +44,10 @@
     content: bytes | None
 
 
-class News(NamedTuple):
+class RowBatch(NamedTuple):
     """A set of rows, complete up to ``version`` of the store."""
 
-    rows: tuple[NewsRow, ...]
+    rows: tuple[StoreRow, ...]
     version: int
 
 
@@ -100,20 +100,20 @@
 Change = RoutesDeclared | ZoneEvacuation | EndpointListed | EndpointGone | EndpointUnreadable
 
 
-class NewsStore(ABC):
+class TableStore(ABC):
     """The operations of the platform's table service that instances use."""
 
     @abstractmethod
-    async def list_rows(self, table: str) -> News | Unreachable:
+    async def list_rows(self, table: str) -> RowBatch | Unreachable:
         """Return a consistent snapshot of all rows of ``table``."""
 
     @abstractmethod
-    async def changes(
-        self, table: str, *, after: int, wait_s: float
-    ) -> News | HistoryLost | Unreachable:
+    async def changes_after(
+        self, table: str, *, after: int, poll_wait_s: float
+    ) -> RowBatch | HistoryLost | Unreachable:
         """Return the rows changed after version ``after``.
 
-        Waits up to ``wait_s`` seconds for the first change.
+        Waits up to ``poll_wait_s`` seconds for the first change.
         """
 
     @abstractmethod
@@ -121,11 +121,11 @@
         """Write one row unconditionally."""
 
     @abstractmethod
-    async def remove_row(self, row: NewsRow) -> Unreachable | None:
+    async def remove_row(self, row: StoreRow) -> Unreachable | None:
         """Remove ``row`` if its version is unchanged; otherwise do nothing."""
 
     @abstractmethod
-    async def replace_row(self, row: NewsRow, content: bytes) -> bool | Unreachable:
+    async def replace_row(self, row: StoreRow, content: bytes) -> bool | Unreachable:
         """Replace the content of ``row`` if its version is unchanged.
 
         Returns whether it was.
@@ -136,5 +136,5 @@
         """Make one small call to check whether the store answers."""
 
     @abstractmethod
-    def decode(self, row: NewsRow) -> Change | Invalid | None:
+    def decode(self, row: StoreRow) -> Change | Invalid | None:
         """Decode ``row``; returns ``None`` if it is irrelevant to this instance."""
--- a/packages/node/src/plantainloft_node/replica/rows.py
+++ b/packages/node/src/plantainloft_node/replica/rows.py
@@ -4,9 +4,9 @@
 
 import anyio
 
-from plantainloft_node.replica.news import News, NewsRow
+from plantainloft_node.replica.news import RowBatch, StoreRow
 
-__all__ = ['RowCopy']
+__all__ = ['RowReplica']
 
 
 # Tombstones kept over all tables, so that a peer that missed some deletions can
@@ -15,8 +15,8 @@
 MAX_TOMBSTONES = 5000
 
 
-class RowCopy:
-    """A replica of the followed tables; older versions never replace newer.
+class RowReplica:
+    """A replica of the polled tables; older versions never replace newer.
 
     Deletions are kept as tombstones, rows without content. Beyond
     ``MAX_TOMBSTONES`` the oldest are pruned, and a peer that may lack a pruned one
@@ -24,14 +24,14 @@
     """
 
     def __init__(self) -> None:
-        self.row_by_key: dict[tuple[str, str], NewsRow] = {}
-        self.newest_by_table: dict[str, int] = {}
+        self.row_by_key: dict[tuple[str, str], StoreRow] = {}
+        self.newest_version_by_table: dict[str, int] = {}
         self._changed = anyio.Event()
         # Keys of tombstones, oldest first.
         self._tombstones: dict[tuple[str, str], None] = {}
         self._pruned_version_by_table: dict[str, int] = {}
 
-    def merge(self, rows: Iterable[NewsRow]) -> list[NewsRow]:
+    def merge(self, rows: Iterable[StoreRow]) -> list[StoreRow]:
         """Merge ``rows``; return those that were new, in version order."""
         fresh = []
         for row in sorted(rows, key=lambda row: row.version):
@@ -39,20 +39,20 @@
             if known is not None and known.version >= row.version:
                 continue
             self._put(row)
-            newest = self.newest_by_table.get(row.table, 0)
-            self.newest_by_table[row.table] = max(newest, row.version)
+            newest = self.newest_version_by_table.get(row.table, 0)
+            self.newest_version_by_table[row.table] = max(newest, row.version)
             fresh.append(row)
         self._prune_tombstones()
         if fresh:
             self._changed.set()
         return fresh
 
-    async def change(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait until new rows are merged."""
         await self._changed.wait()
         self._changed = anyio.Event()
 
-    def merge_listing(self, table: str, listing: News) -> list[NewsRow]:
+    def merge_listing(self, table: str, listing: RowBatch) -> list[StoreRow]:
         """Merge a whole table; rows missing from it count as removed.
 
         A stale listing does not remove rows that were written after it.
@@ -68,26 +68,26 @@
         ]
         return self.merge([*listing.rows, *missing])
 
-    def cut_off(self, newest_by_table: dict[str, int]) -> list[str]:
+    def tables_needing_full_sync(self, newest_version_by_table: dict[str, int]) -> list[str]:
         """Return the tables in which a peer may lack pruned tombstones.
 
-        ``newest_by_table`` has the newest version that the peer knows of each table.
+        ``newest_version_by_table`` has the newest version that the peer knows of each table.
         """
         return [
             table
             for table, pruned_version in self._pruned_version_by_table.items()
-            if newest_by_table.get(table, 0) < pruned_version
+            if newest_version_by_table.get(table, 0) < pruned_version
         ]
 
-    def since(self, newest_by_table: dict[str, int]) -> list[NewsRow]:
-        """Return the rows that are newer than the versions in ``newest_by_table``."""
+    def rows_newer_than(self, newest_version_by_table: dict[str, int]) -> list[StoreRow]:
+        """Return the rows that are newer than the versions in ``newest_version_by_table``."""
         return [
             row
             for row in self.row_by_key.values()
-            if row.version > newest_by_table.get(row.table, 0)
+            if row.version > newest_version_by_table.get(row.table, 0)
         ]
 
-    def _put(self, row: NewsRow) -> None:
+    def _put(self, row: StoreRow) -> None:
         key = (row.table, row.key)
         self.row_by_key[key] = row
         self._tombstones.pop(key, None)
--- a/packages/node/src/plantainloft_node/replica/store_watch.py
+++ b/packages/node/src/plantainloft_node/replica/store_watch.py
@@ -13,12 +13,12 @@
 
 import anyio
 
-__all__ = ['LAPSE_GRACE_S', 'StoreWatch']
+__all__ = ['ROW_EXPIRY_GRACE_S', 'StoreAvailability']
 
 # According to the platform's documentation, expired rows are back about 2 s after
 # the store recovers. An endpoint whose row is still missing then is gone.
-LAPSE_GRACE_S = 2.3
-# A failed poll is noticed 5.2 s after it was sent. In that time two followers
+ROW_EXPIRY_GRACE_S = 2.3
+# A failed poll is noticed 5.2 s after it was sent. In that time two pollers
 # and a few probes get answers.
 MAX_ANSWER_TIMES = 32
 # Instances that poll the store for others report twice a second.
@@ -28,7 +28,7 @@
 class _PeerUptime(NamedTuple):
     """How long the store had been available at ``at``, as reported by a peer."""
 
-    served_s: float | None
+    available_for_s: float | None
     at: float
 
     def uptime_s_at(self, now: float) -> float | None:
@@ -39,12 +39,12 @@
         and the grace period for rows that expired in the outage counts from it.
         """
         passed_s = now - self.at
-        if self.served_s is not None:
-            return self.served_s + passed_s
+        if self.available_for_s is not None:
+            return self.available_for_s + passed_s
         return passed_s if passed_s >= PEER_REPORT_TIMEOUT_S else None
 
 
-class StoreWatch:
+class StoreAvailability:
     """Tracks outages of the store and when it recovered from the last one."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         self._peer_check_requested = anyio.Event()
         self._uptime_by_peer: dict[str, _PeerUptime] = {}
 
-    def note_answered(self, *, sent_at: float, now: float) -> None:
+    def record_answer(self, *, sent_at: float, now: float) -> None:
         """Record an answer: the store was available at ``sent_at`` and at ``now``.
 
         A long poll proves nothing about the time between the two: an unresponsive
@@ -67,7 +67,7 @@
             if self._outage_at is not None and at > self._outage_at:
                 self._recovered_at = _earliest(self._recovered_at, at)
 
-    def note_failed(self, *, due_at: float) -> None:
+    def record_failure(self, *, due_at: float) -> None:
         """Record a call without an answer; ``due_at`` is when the answer was due.
 
         A poll that an unresponsive store dropped times out a second after it was
@@ -79,7 +79,7 @@
         self._outage_at = due_at
         self._recovered_at = min((at for at in self._answered_at if at > due_at), default=None)
 
-    def note_served_elsewhere(self, *, since: float, asked_at: float) -> None:
+    def record_peer_access(self, *, since: float, asked_at: float) -> None:
         """Record a peer's report that the store has been available to it since ``since``.
 
         The report covers the time up to ``asked_at``; failures after that stand.
@@ -90,20 +90,20 @@
         if self._outage_at is not None and self._outage_at <= asked_at:
             self._recovered_at = _earliest(self._recovered_at, since)
 
-    def note_told(self, name: str, served_s: float | None, now: float) -> None:
+    def record_peer_uptime(self, name: str, available_for_s: float | None, now: float) -> None:
         """Record the report of ``name``, which polls the store for this instance.
 
-        ``served_s`` is the result of ``served_s`` at that peer. An instance at rest
+        ``available_for_s`` is what that peer computes. An instance that delegates polling
         makes no calls that could fail. Without these reports, it would treat rows
         that expired in an outage as those of endpoints that left.
         """
-        self._uptime_by_peer[name] = _PeerUptime(served_s, now)
+        self._uptime_by_peer[name] = _PeerUptime(available_for_s, now)
 
     def request_peer_check(self) -> None:
         """Request that peers be asked: rows were removed while the pollers lost the store."""
         self._peer_check_requested.set()
 
-    async def failure(self) -> None:
+    async def wait_for_failure(self) -> None:
         """Wait until a call fails or ``request_peer_check`` is called."""
         await self._peer_check_requested.wait()
         self._peer_check_requested = anyio.Event()
@@ -114,20 +114,20 @@
         outage_at = self._outage_at
         return outage_at is not None and all(at <= outage_at for at in self._answered_at)
 
-    def may_have_lapsed(self, now: float) -> bool:
+    def may_have_expired(self, now: float) -> bool:
         """Return whether a row removed now may have expired because of an outage."""
-        served_s = self.served_s(now)
-        return served_s is None or served_s < LAPSE_GRACE_S
+        available_for_s = self.available_for_s(now)
+        return available_for_s is None or available_for_s < ROW_EXPIRY_GRACE_S
 
-    def served_s(self, now: float) -> float | None:
+    def available_for_s(self, now: float) -> float | None:
         """Return how long the store has been available; ``None`` while it is not.
 
         Infinite if no call has ever failed.
         """
         reported = (uptime.uptime_s_at(now) for uptime in self._uptime_by_peer.values())
-        served = [self._own_uptime_s(now), *reported]
-        known = [served_s for served_s in served if served_s is not None]
-        return min(known) if len(known) == len(served) else None
+        available = [self._own_uptime_s(now), *reported]
+        known = [available_for_s for available_for_s in available if available_for_s is not None]
+        return min(known) if len(known) == len(available) else None
 
     def _own_uptime_s(self, now: float) -> float | None:
         if self._outage_at is None:
--- a/packages/standins/src/plantainloft_standins/crash_draws.py
+++ b/packages/standins/src/plantainloft_standins/crash_draws.py
@@ -67,4 +67,4 @@
         simulation.model.after(rng.uniform(1, DURATION_S), restart)
     if rng.random() < UNREACHABLE_PROBABILITY:
         unreachable = rng.choice(names)
-        simulation.model.passes = lambda sender, receiver: receiver.name != unreachable
+        simulation.model.can_deliver = lambda sender, receiver: receiver.name != unreachable
--- a/packages/standins/src/plantainloft_standins/crash_model.py
+++ b/packages/standins/src/plantainloft_standins/crash_model.py
@@ -261,7 +261,7 @@
         endpoint.running.append(request)
         if request.is_fatal:
             started = self._restarted_at_by_name.get(
-                request.instance.members.me.name, -PROPAGATION_S
+                request.instance.members.local_member.name, -PROPAGATION_S
             )
             if self.model.now - started >= PROPAGATION_S:
                 self.results.record_arrival(request.path, self.model.now)
@@ -299,7 +299,7 @@
                 self.model.after(
                     STORE_LATENCY_S, partial(self._store.write, crash_registry, request.fingerprint)
                 )
-            elif not request.instance.members.up(self.model.now):
+            elif not request.instance.members.peers_up(self.model.now):
                 self.model.after(STORE_LATENCY_S, partial(self._store.read, crash_registry))
 
     def _retry(self, request: _Request) -> None:
--- a/packages/standins/src/plantainloft_standins/fleet_model.py
+++ b/packages/standins/src/plantainloft_standins/fleet_model.py
@@ -1,6 +1,6 @@
 """Simulation of the datagrams between many entry instances, in virtual time.
 
-Runs the production membership, receiving and relaying code of each instance. The
+Runs the production membership, receiving and report_planner code of each instance. The
 network between them is simulated: it loses and delays datagrams, and a test can
 cut links. A hint is answered with the whole list of instances, as by a real peer.
 """
@@ -12,10 +12,10 @@
 from functools import partial
 from typing import NamedTuple
 
-from plantainloft_node.fleet.beats import BEAT_S, URGENT_AFTER_S
-from plantainloft_node.fleet.intake import Hint, Intake
-from plantainloft_node.fleet.members import Beat, FleetMember, MemberBook
-from plantainloft_node.fleet.relaying import Message, Relaying
+from plantainloft_node.fleet.beats import HEARTBEAT_INTERVAL_S, URGENT_ROUND_DELAY_S
+from plantainloft_node.fleet.intake import ReportReceiver, UpdateHint
+from plantainloft_node.fleet.members import FleetMember, FleetMembership, Heartbeat
+from plantainloft_node.fleet.relaying import OutgoingDatagram, ReportPlanner
 from plantainloft_node.limits.limiter import DEFAULT_LIMIT_SETTINGS, LimitSettings, RequestLimiter
 from plantainloft_node.limits.shares import DemandProportionalShares, ShareRule
 from plantainloft_node.quarantine.crash_book import CrashRegistry
@@ -71,37 +71,41 @@
     def __init__(
         self,
         *,
-        me: FleetMember,
+        local_member: FleetMember,
         seeds: tuple[str, ...],
         seed: int,
         limiter: RequestLimiter,
         clock: Callable[[], float],
     ) -> None:
-        self.members = MemberBook(me=me)
+        self.members = FleetMembership(local_member=local_member)
         self.limiter = limiter
         self._clock = clock
         self.crash_registry = CrashRegistry()
-        self.intake = Intake(members=self.members, crash_registry=self.crash_registry)
-        self.leaving = False
+        self.report_receiver = ReportReceiver(
+            members=self.members, crash_registry=self.crash_registry
+        )
+        self.draining = False
         self.rate_by_service: dict[str, float] = {'desk': 1.0}
         self.traffic = Traffic()
         self.urgent_round_pending = False
         self.query_pending = False
         # False once the process is stopped or replaced; its pending events are ignored.
         self.runs = True
-        self.relaying = Relaying(
+        self.report_planner = ReportPlanner(
             members=self.members,
-            intake=self.intake,
-            state=self._beat,
+            report_receiver=self.report_receiver,
+            own_heartbeat=self._heartbeat,
             seeds=seeds,
-            chance=random.Random(seed),
+            rng=random.Random(seed),
             crash_registry=self.crash_registry,
         )
 
-    def _beat(self) -> Beat:
+    def _heartbeat(self) -> Heartbeat:
         usage = self.limiter.usage_report(self._clock())
-        beat = Beat(self.members.me, True, self.leaving, {}, self.rate_by_service)
-        return beat._replace(usage_by_organisation=usage)
+        heartbeat = Heartbeat(
+            self.members.local_member, True, self.draining, {}, self.rate_by_service
+        )
+        return heartbeat._replace(usage_by_organisation=usage)
 
 
 class _Event(NamedTuple):
@@ -111,7 +115,7 @@
 
 
 class FleetModel:
-    """Simulates a fleet; ``passes`` tells whether datagrams get from sender to receiver."""
+    """Simulates a fleet; ``can_deliver`` tells whether datagrams get from sender to receiver."""
 
     def __init__(
         self,
@@ -125,7 +129,7 @@
         self._limit_parameters = limit_parameters
         self._share_rule = share_rule
         self.now = 0.0
-        self.passes: LinkFilter = _allow_all
+        self.can_deliver: LinkFilter = _allow_all
         self.instance_by_name: dict[str, ModelInstance] = {}
         self._shape = shape
         self._listed = listed
@@ -142,12 +146,14 @@
     def start(self, name: str) -> None:
         """Start an instance, or restart it as a new incarnation."""
         previous = self.instance_by_name.get(name)
-        me = self._member_by_name[name]
+        local_member = self._member_by_name[name]
         if previous is not None:
             previous.runs = False
-            me = me._replace(incarnation=previous.members.me.incarnation + 1)
+            local_member = local_member._replace(
+                incarnation=previous.members.local_member.incarnation + 1
+            )
         instance = ModelInstance(
-            me=me,
+            local_member=local_member,
             seeds=_select_seeds(list(self._member_by_name.values())),
             seed=next(self._event_numbers),
             limiter=RequestLimiter(
@@ -158,9 +164,9 @@
         if self._listed:
             _learn_members(instance, self.instance_by_name.values(), self.now)
         self.instance_by_name[name] = instance
-        self._run_round(instance, to_all=True)
+        self._run_round(instance, include_not_due=True)
 
-    def wake(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Resume a stopped process, like SIGCONT."""
         instance = self.instance_by_name[name]
         instance.runs = True
@@ -169,19 +175,21 @@
     def leave(self, name: str) -> None:
         """Make an instance announce that it is leaving."""
         instance = self.instance_by_name[name]
-        instance.leaving = True
-        self.send_round(instance, to_all=True)
+        instance.draining = True
+        self.send_round(instance, include_not_due=True)
 
     def schedule_urgent_round(self, instance: ModelInstance) -> None:
         """Schedule an urgent round to all other instances, unless one is pending."""
         if not instance.urgent_round_pending:
             instance.urgent_round_pending = True
-            self.after(URGENT_AFTER_S, partial(_send_urgent_round, self, instance))
+            self.after(URGENT_ROUND_DELAY_S, partial(_send_urgent_round, self, instance))
 
-    def send_round(self, instance: ModelInstance, *, to_all: bool) -> None:
+    def send_round(self, instance: ModelInstance, *, include_not_due: bool) -> None:
         """Send a round of datagrams from an instance now."""
-        for message in instance.relaying.round(self.now, to_all=to_all):
-            self._send(instance, message)
+        for datagram in instance.report_planner.plan_round(
+            self.now, include_not_due=include_not_due
+        ):
+            self._send(instance, datagram)
 
     def after(self, seconds: float, callback: Callable[[], None]) -> None:
         """Call ``callback`` after ``seconds`` of virtual time."""
@@ -200,7 +208,7 @@
     def up_at(self, name: str) -> set[str]:
         """Return the instances that ``name`` considers up, including itself."""
         members = self.instance_by_name[name].members
-        return {name, *(one.name for one in members.up(self.now))}
+        return {name, *(one.name for one in members.peers_up(self.now))}
 
     def running(self) -> list[str]:
         """Return the names of the instances that run."""
@@ -212,28 +220,30 @@
         wrong_by_name = {name: self.up_at(name) ^ running for name in names or running}
         return {name: wrong for name, wrong in wrong_by_name.items() if wrong}
 
-    def _run_round(self, instance: ModelInstance, *, to_all: bool = False) -> None:
+    def _run_round(self, instance: ModelInstance, *, include_not_due: bool = False) -> None:
         if instance.runs:
-            self.send_round(instance, to_all=to_all)
+            self.send_round(instance, include_not_due=include_not_due)
             round_delay_s = self._rng.random() * MAX_ROUND_DELAY_S
-            self.after(BEAT_S + round_delay_s, partial(self._run_round, instance))
+            self.after(HEARTBEAT_INTERVAL_S + round_delay_s, partial(self._run_round, instance))
 
-    def _send(self, sender: ModelInstance, message: Message) -> None:
-        me = sender.members.me
-        to = self._member_by_name[message.address.rpartition(':')[0]]
+    def _send(self, sender: ModelInstance, datagram: OutgoingDatagram) -> None:
+        local_member = sender.members.local_member
+        to = self._member_by_name[datagram.address.rpartition(':')[0]]
         sender.traffic = sender.traffic.with_sent(
-            len(message.packed), between_zones=to.zone != me.zone
+            len(datagram.packed), between_zones=to.zone != local_member.zone
         )
-        if self.passes(me, to) and self._rng.random() >= self._shape.loss:
-            delay_s = INTRA_REGION_DELAY_S if to.region == me.region else INTER_REGION_DELAY_S
-            self.after(delay_s, partial(self._deliver, message.packed, me.name, to.name))
+        if self.can_deliver(local_member, to) and self._rng.random() >= self._shape.loss:
+            delay_s = (
+                INTRA_REGION_DELAY_S if to.region == local_member.region else INTER_REGION_DELAY_S
+            )
+            self.after(delay_s, partial(self._deliver, datagram.packed, local_member.name, to.name))
 
     def _deliver(self, packed: bytes, host: str, name: str) -> None:
         receiver = self.instance_by_name.get(name)
         if receiver is None or not receiver.runs:
             return
         receiver.traffic = receiver.traffic.with_received()
-        accepted = receiver.intake.take(packed, host, self.now)
+        accepted = receiver.report_receiver.receive(packed, host, self.now)
         if accepted is None:
             raise ValueError(f'datagram from {host} to {name} cannot be decoded')
         if accepted.is_urgent:
@@ -241,19 +251,22 @@
         for hint in accepted.hints:
             self._take_hint(receiver, hint)
 
-    def _take_hint(self, receiver: ModelInstance, hint: Hint) -> None:
+    def _take_hint(self, receiver: ModelInstance, hint: UpdateHint) -> None:
         if not receiver.query_pending and _has_unknown_members(receiver, hint):
             receiver.query_pending = True
             self.after(MEMBER_QUERY_DELAY_S, partial(self._query_members, receiver, hint))
 
-    def _query_members(self, receiver: ModelInstance, hint: Hint) -> None:
+    def _query_members(self, receiver: ModelInstance, hint: UpdateHint) -> None:
         receiver.query_pending = False
         asked = self.instance_by_name[hint.member.name]
-        reached = asked.runs and self.passes(receiver.members.me, hint.member)
+        reached = asked.runs and self.can_deliver(receiver.members.local_member, hint.member)
         if receiver.runs and reached and _has_unknown_members(receiver, hint):
-            for member in (*asked.members.counted(self.now), asked.members.me):
-                receiver.members.learn(member, self.now)
-            receiver.members.listed = True
+            for member in (
+                *asked.members.peers_sharing_limits(self.now),
+                asked.members.local_member,
+            ):
+                receiver.members.add_member(member, self.now)
+            receiver.members.has_member_list = True
 
 
 def _generate_members(shape: FleetShape) -> Iterator[FleetMember]:
@@ -264,18 +277,20 @@
 
 
 def _select_seeds(members: list[FleetMember]) -> tuple[str, ...]:
-    return tuple(member.peer for member in members[:: max(1, len(members) // SEED_COUNT)])
+    return tuple(
+        member.heartbeat_address for member in members[:: max(1, len(members) // SEED_COUNT)]
+    )
 
 
 def _learn_members(instance: ModelInstance, others: Iterable[ModelInstance], now: float) -> None:
     for other in others:
-        instance.members.learn(other.members.me, now)
-    instance.members.listed = True
+        instance.members.add_member(other.members.local_member, now)
+    instance.members.has_member_list = True
 
 
-def _has_unknown_members(receiver: ModelInstance, hint: Hint) -> bool:
-    known = receiver.members.known
-    return any(known.name_of(key) is None for key in hint.keys)
+def _has_unknown_members(receiver: ModelInstance, hint: UpdateHint) -> bool:
+    registry = receiver.members.registry
+    return any(registry.name_of(key) is None for key in hint.member_keys)
 
 
 def _allow_all(sender: FleetMember, receiver: FleetMember) -> bool:
@@ -285,4 +300,4 @@
 def _send_urgent_round(model: FleetModel, instance: ModelInstance) -> None:
     instance.urgent_round_pending = False
     if instance.runs:
-        model.send_round(instance, to_all=True)
+        model.send_round(instance, include_not_due=True)
--- a/packages/standins/src/plantainloft_standins/leaving_model.py
+++ b/packages/standins/src/plantainloft_standins/leaving_model.py
@@ -21,10 +21,10 @@
 from plantainloft_node.entry.sharing import MEMBERS_CALL, ROWS_CALL, SMALL_ROWS_CALL, RowReplication
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
 from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
-from plantainloft_node.fleet.beats import BEAT_S
-from plantainloft_node.fleet.intake import Intake
-from plantainloft_node.fleet.members import Beat, FleetMember, MemberBook
-from plantainloft_node.fleet.relaying import Message, Relaying
+from plantainloft_node.fleet.beats import HEARTBEAT_INTERVAL_S
+from plantainloft_node.fleet.intake import ReportReceiver
+from plantainloft_node.fleet.members import FleetMember, FleetMembership, Heartbeat
+from plantainloft_node.fleet.relaying import OutgoingDatagram, ReportPlanner
 from plantainloft_node.quarantine.crash_book import CrashRegistry
 from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS
 from plantainloft_node.streams.listener import FrameHandler
@@ -125,13 +125,13 @@
 class _ModelCalls(PeerCalls):
     """Calls of one instance over the simulated network."""
 
-    def __init__(self, *, me: FleetMember, network: _Network) -> None:
-        self._me = me
+    def __init__(self, *, local_member: FleetMember, network: _Network) -> None:
+        self._local_member = local_member
         self._network = network
         self._link_by_name = network.link_by_name
 
     async def call(self, member: FleetMember, kind: str, content: Any) -> Any | Unreachable:
-        one_way_s = self._network.one_way_s(self._me, member)
+        one_way_s = self._network.one_way_s(self._local_member, member)
         with anyio.move_on_after(CALL_TIMEOUT_S):
             await anyio.sleep(one_way_s)
             answer = await self._network.handler_by_call[(member.name, kind)](content)
@@ -146,13 +146,13 @@
     """The part of an entry instance that observes the store and its peers."""
 
     def __init__(
-        self, *, me: FleetMember, store: ModelStore, network: _Network, tasks: TaskGroup
+        self, *, local_member: FleetMember, store: ModelStore, network: _Network, tasks: TaskGroup
     ) -> None:
-        self.members = MemberBook(me=me)
+        self.members = FleetMembership(local_member=local_member)
         self.store_client = StoreClient(
             store=store,
-            instance=me.name,
-            round_trip_s=network.store_rtt_s(me),
+            instance=local_member.name,
+            round_trip_s=network.store_rtt_s(local_member),
             clock=anyio.current_time,
             byte_s=network.byte_s,
         )
@@ -163,7 +163,7 @@
             long_poll_wait_s=lambda: polling_policy.long_poll_wait_s(anyio.current_time()),
             delegates_polling=lambda: polling_policy.delegates_polling(anyio.current_time()),
         )
-        calls = _ModelCalls(me=me, network=network)
+        calls = _ModelCalls(local_member=local_member, network=network)
         self.row_replication = RowReplication(
             calls=calls, members=self.members, replicated_state=self.replicated_state, tasks=tasks
         )
@@ -171,40 +171,44 @@
             calls=calls, members=self.members, replicated_state=self.replicated_state
         )
         crash_registry = CrashRegistry()
-        self._intake = Intake(members=self.members, crash_registry=crash_registry)
-        self.relaying = Relaying(
+        self._report_receiver = ReportReceiver(members=self.members, crash_registry=crash_registry)
+        self.report_planner = ReportPlanner(
             members=self.members,
-            intake=self._intake,
-            state=self.beat,
+            report_receiver=self._report_receiver,
+            own_heartbeat=self.heartbeat,
             seeds=(),
-            chance=random.Random(me.name),
+            rng=random.Random(local_member.name),
             crash_registry=crash_registry,
         )
-        network.handler_by_call[(me.name, ROWS_CALL)] = self.row_replication.answer_rows_call
-        network.handler_by_call[(me.name, SMALL_ROWS_CALL)] = (
+        network.handler_by_call[(local_member.name, ROWS_CALL)] = (
+            self.row_replication.answer_rows_call
+        )
+        network.handler_by_call[(local_member.name, SMALL_ROWS_CALL)] = (
             self.row_replication.answer_small_rows_call
         )
-        network.handler_by_call[(me.name, MEMBERS_CALL)] = self.row_replication.answer_members_call
-        network.handler_by_call[(me.name, PROBE_CALL)] = self.probes.answer_probe_call
+        network.handler_by_call[(local_member.name, MEMBERS_CALL)] = (
+            self.row_replication.answer_members_call
+        )
+        network.handler_by_call[(local_member.name, PROBE_CALL)] = self.probes.answer_probe_call
 
     def start(self, tasks: TaskGroup) -> None:
-        for follower in self.replicated_state.followers.values():
-            tasks.start_soon(follower.run)
+        for poller in self.replicated_state.pollers.values():
+            tasks.start_soon(poller.run)
         tasks.start_soon(self.probes.run)
 
-    def beat(self) -> Beat:
-        return Beat(
-            member=self.members.me,
+    def heartbeat(self) -> Heartbeat:
+        return Heartbeat(
+            member=self.members.local_member,
             ready=True,
-            leaving=False,
-            newest_by_table=dict(self.replicated_state.rows.newest_by_table),
+            draining=False,
+            newest_version_by_table=dict(self.replicated_state.rows.newest_version_by_table),
             rate_by_service={},
-            follows=self.replicated_state.polls_successfully(),
-            store_served_s=self.replicated_state.store_available_for_s(anyio.current_time()),
+            polls_store=self.replicated_state.polls_successfully(),
+            store_available_for_s=self.replicated_state.store_available_for_s(anyio.current_time()),
         )
 
     def receive(self, packed: bytes, host: str) -> None:
-        taken = self._intake.take(packed, host, anyio.current_time())
+        taken = self._report_receiver.receive(packed, host, anyio.current_time())
         for hint in taken.hints if taken else ():
             self.row_replication.on_update_hint(hint)
 
@@ -254,47 +258,57 @@
         return [
             name
             for name, one in self._instance_by_name.items()
-            if one.replicated_state.rows.newest_by_table.get(DECLARATIONS, 0) < newest
+            if one.replicated_state.rows.newest_version_by_table.get(DECLARATIONS, 0) < newest
         ]
 
     def _build(self, tasks: TaskGroup) -> None:
         for region in range(self._scenario.regions):
             for number in range(self._scenario.per_region):
                 name = f'e{region}-{number}'
-                me = FleetMember(name, 1, f'r{region}', f'r{region}-a', f'{name}:80', f'{name}:90')
-                instance = _Instance(me=me, store=self._store, network=self._network, tasks=tasks)
+                local_member = FleetMember(
+                    name, 1, f'r{region}', f'r{region}-a', f'{name}:80', f'{name}:90'
+                )
+                instance = _Instance(
+                    local_member=local_member, store=self._store, network=self._network, tasks=tasks
+                )
                 self._instance_by_name[name] = instance
-        all_members = [one.members.me for one in self._instance_by_name.values()]
+        all_members = [one.members.local_member for one in self._instance_by_name.values()]
         for instance in self._instance_by_name.values():
             for member in all_members:
-                instance.members.learn(member, 0.0)
+                instance.members.add_member(member, 0.0)
             instance.start(tasks)
-            tasks.start_soon(self._send_beats, instance, tasks)
+            tasks.start_soon(self._send_heartbeats, instance, tasks)
             tasks.start_soon(self._send_hints, instance, tasks)
 
-    async def _send_beats(self, sender: _Instance, tasks: TaskGroup) -> None:
-        await anyio.sleep(self._random.random() * BEAT_S)
+    async def _send_heartbeats(self, sender: _Instance, tasks: TaskGroup) -> None:
+        await anyio.sleep(self._random.random() * HEARTBEAT_INTERVAL_S)
         while True:
-            self._send_messages(sender.relaying.round(anyio.current_time()), sender, tasks)
-            await anyio.sleep(BEAT_S)
+            self._send_messages(
+                sender.report_planner.plan_round(anyio.current_time()), sender, tasks
+            )
+            await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _send_hints(self, sender: _Instance, tasks: TaskGroup) -> None:
         while True:
-            await sender.replicated_state.rows.change()
-            self._send_messages(sender.relaying.to_readers(anyio.current_time()), sender, tasks)
+            await sender.replicated_state.rows.wait_for_change()
+            self._send_messages(
+                sender.report_planner.datagrams_for_subscribers(anyio.current_time()), sender, tasks
+            )
             await anyio.sleep(ROW_CHANGE_DEBOUNCE_S)
 
-    def _send_messages(self, messages: list[Message], sender: _Instance, tasks: TaskGroup) -> None:
-        for message in messages:
+    def _send_messages(
+        self, datagrams: list[OutgoingDatagram], sender: _Instance, tasks: TaskGroup
+    ) -> None:
+        for datagram in datagrams:
             if self._random.random() >= self._scenario.loss_rate:
-                tasks.start_soon(self._deliver, message, sender)
+                tasks.start_soon(self._deliver, datagram, sender)
 
-    async def _deliver(self, message: Message, sender: _Instance) -> None:
-        name = message.address.rpartition(':')[0]
+    async def _deliver(self, datagram: OutgoingDatagram, sender: _Instance) -> None:
+        name = datagram.address.rpartition(':')[0]
         receiver = self._instance_by_name[name]
-        me = sender.members.me
-        await anyio.sleep(self._network.one_way_s(me, receiver.members.me))
-        receiver.receive(message.packed, me.name)
+        local_member = sender.members.local_member
+        await anyio.sleep(self._network.one_way_s(local_member, receiver.members.local_member))
+        receiver.receive(datagram.packed, local_member.name)
 
     async def _write_configurations(self) -> None:
         # The operator can't write while the store is down for all instances.
@@ -327,12 +341,12 @@
             await anyio.sleep(UPDATE_INTERVAL_S)
             now = anyio.current_time()
             for instance in self._instance_by_name.values():
-                instance.replicated_state.routing_state.tick(now)
+                instance.replicated_state.routing_state.expire_grace_periods(now)
                 self._record_use(instance, now)
 
     def _record_use(self, instance: _Instance, now: float) -> None:
         used = instance.replicated_state.endpoint_registry.by_id
-        name = instance.members.me.name
+        name = instance.members.local_member.name
         for number in range(ENDPOINT_COUNT):
             endpoint_id = f'i{number}'
             if endpoint_id in self._removed_at_by_id:
--- a/packages/standins/src/plantainloft_standins/limit_model.py
+++ b/packages/standins/src/plantainloft_standins/limit_model.py
@@ -13,7 +13,7 @@
 
 from plantainloft_core.organisations import Organisation, RateLimit
 from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
-from plantainloft_node.fleet.demand import fleet_size, has_fresh_uses, uses_of_fleet
+from plantainloft_node.fleet.demand import fleet_size, has_current_fleet_usage, sum_fleet_usage
 from plantainloft_standins.fleet_model import FleetModel, ModelInstance
 
 __all__ = ['CallerFlow', 'LimitSimulation', 'model_organisation']
@@ -113,8 +113,8 @@
 
 def _update_limiter(instance: ModelInstance, now: float) -> None:
     limiter = instance.limiter
-    fleet_usage = uses_of_fleet(instance.members, limiter.usage_report(now), now)
-    reports_are_recent = has_fresh_uses(instance.members, now)
+    fleet_usage = sum_fleet_usage(instance.members, limiter.usage_report(now), now)
+    reports_are_recent = has_current_fleet_usage(instance.members, now)
     limiter.update_fleet_usage(
         fleet_usage, fleet_size(instance.members, now), now, reports_are_recent=reports_are_recent
     )
--- a/packages/standins/src/plantainloft_standins/store_model.py
+++ b/packages/standins/src/plantainloft_standins/store_model.py
@@ -21,9 +21,9 @@
     EndpointGone,
     EndpointListed,
     HistoryLost,
-    News,
-    NewsRow,
-    NewsStore,
+    RowBatch,
+    StoreRow,
+    TableStore,
 )
 
 __all__ = ['FailureMode', 'ModelStore', 'Outage', 'StoreClient']
@@ -60,7 +60,7 @@
     def __init__(self, *, outages: tuple[Outage, ...]) -> None:
         self.outages = outages
         self.version = 0
-        self._row_by_key: dict[tuple[str, str], NewsRow] = {}
+        self._row_by_key: dict[tuple[str, str], StoreRow] = {}
         self._changed = anyio.Event()
 
     def put(self, table: str, key: str, *, size: int = 1) -> None:
@@ -76,7 +76,7 @@
         self._changed.set()
         self._changed = anyio.Event()
 
-    def rows(self, table: str, *, after: int = 0) -> tuple[NewsRow, ...]:
+    def rows(self, table: str, *, after: int = 0) -> tuple[StoreRow, ...]:
         """Return the rows of ``table`` changed after a version, in version order.
 
         Removed rows are included only if ``after`` is given.
@@ -107,11 +107,11 @@
 
     def _write(self, table: str, key: str, content: bytes | None) -> None:
         self.version += 1
-        self._row_by_key[(table, key)] = NewsRow(table, key, self.version, content)
+        self._row_by_key[(table, key)] = StoreRow(table, key, self.version, content)
         self.notify()
 
 
-class StoreClient(NewsStore):
+class StoreClient(TableStore):
     """One instance's connection to the store, with its latency."""
 
     def __init__(
@@ -131,50 +131,54 @@
         self._clock = clock
         self.calls = 0
 
-    async def list_rows(self, table: str) -> News | Unreachable:
+    async def list_rows(self, table: str) -> RowBatch | Unreachable:
         """Return all rows."""
-        return await self._ask(table, after=0, wait_s=0.0)
+        return await self._ask(table, after=0, poll_wait_s=0.0)
 
-    async def changes(
-        self, table: str, *, after: int, wait_s: float
-    ) -> News | HistoryLost | Unreachable:
+    async def changes_after(
+        self, table: str, *, after: int, poll_wait_s: float
+    ) -> RowBatch | HistoryLost | Unreachable:
         """Long-poll for the rows changed after a version."""
-        return await self._ask(table, after=after, wait_s=wait_s)
+        return await self._ask(table, after=after, poll_wait_s=poll_wait_s)
 
     async def put_row(self, table: str, key: str, content: bytes) -> Unreachable | None:
         """Write nothing: instances are not registered in this model."""
         return await self.probe()
 
-    async def remove_row(self, row: NewsRow) -> Unreachable | None:
+    async def remove_row(self, row: StoreRow) -> Unreachable | None:
         """Remove nothing: instances are not registered in this model."""
         return await self.probe()
 
-    async def replace_row(self, row: NewsRow, content: bytes) -> bool | Unreachable:
+    async def replace_row(self, row: StoreRow, content: bytes) -> bool | Unreachable:
         """Replace nothing: endpoints do not crash in this model."""
         return False
 
     async def probe(self) -> Unreachable | None:
         """Check that the store answers, with one small call."""
-        outcome = await self._ask(INSTANCES, after=0, wait_s=0.0)
+        outcome = await self._ask(INSTANCES, after=0, poll_wait_s=0.0)
         return outcome if isinstance(outcome, Unreachable) else None
 
-    def decode(self, row: NewsRow) -> Change | Invalid | None:
+    def decode(self, row: StoreRow) -> Change | Invalid | None:
         """Decode ``row`` into the change of an endpoint that it stands for."""
         change: Change | None = None
         if row.table != DECLARATIONS:
             change = _listed(row.key) if row.content else EndpointGone(endpoint_id=row.key)
         return change
 
-    async def _ask(self, table: str, *, after: int, wait_s: float) -> News | Unreachable:
+    async def _ask(self, table: str, *, after: int, poll_wait_s: float) -> RowBatch | Unreachable:
         self.calls += 1
-        outcome: News | Unreachable = Unreachable(reason='no answer in time')
-        with anyio.move_on_after(CALL_TIMEOUT_S + wait_s):
+        outcome: RowBatch | Unreachable = Unreachable(reason='no answer in time')
+        with anyio.move_on_after(CALL_TIMEOUT_S + poll_wait_s):
             await anyio.sleep(self._one_way_s)
-            outcome = await self._long_poll(table, after=after, expires_at=self._clock() + wait_s)
+            outcome = await self._long_poll(
+                table, after=after, expires_at=self._clock() + poll_wait_s
+            )
             await anyio.sleep(self._one_way_s + self._byte_s * _size(outcome))
         return outcome
 
-    async def _long_poll(self, table: str, *, after: int, expires_at: float) -> News | Unreachable:
+    async def _long_poll(
+        self, table: str, *, after: int, expires_at: float
+    ) -> RowBatch | Unreachable:
         is_new_call = True
         while True:
             now = self._clock()
@@ -185,14 +189,14 @@
                 await anyio.sleep_forever()
             rows = self._store.rows(table, after=after)
             if outage is None and (rows or now >= expires_at):
-                return News(rows, self._store.version)
+                return RowBatch(rows, self._store.version)
             is_new_call = False
             with anyio.move_on_after(expires_at - now):
                 await self._store.changed()
 
 
-def _size(outcome: News | Unreachable) -> int:
-    rows = outcome.rows if isinstance(outcome, News) else ()
+def _size(outcome: RowBatch | Unreachable) -> int:
+    rows = outcome.rows if isinstance(outcome, RowBatch) else ()
     return sum(len(row.content or b'') for row in rows)
 
 
--- a/tests/test_crash_model.py
+++ b/tests/test_crash_model.py
@@ -83,7 +83,7 @@
 ) -> None:
     simulation = make_simulation(SMALL._replace(seed=seed), fatal=(FATAL,), duration_s=25.0)
     unreachable = sorted(simulation.model.instance_by_name)[0]
-    simulation.model.passes = lambda sender, receiver: receiver.name != unreachable
+    simulation.model.can_deliver = lambda sender, receiver: receiver.name != unreachable
     simulation.run()
     assert simulation.results.arrivals_after_propagation('/fatal') <= MAX_LATE_REQUESTS
 
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -14,7 +14,7 @@
     ENDPOINTS,
     EndpointListed,
     EndpointUnreadable,
-    NewsRow,
+    StoreRow,
 )
 from plantainloft_platform.documents import decode_row
 
@@ -39,8 +39,8 @@
 )
 
 
-def row(content: bytes | None) -> NewsRow:
-    return NewsRow(table=ENDPOINTS, key='i-1', version=1, content=content)
+def row(content: bytes | None) -> StoreRow:
+    return StoreRow(table=ENDPOINTS, key='i-1', version=1, content=content)
 
 
 def decoded(document: object) -> object:
@@ -125,5 +125,5 @@
     """
     nested = b'[' * 100_000
     assert isinstance(decode_row(row(nested)), EndpointUnreadable)
-    operator_row = NewsRow(table=DECLARATIONS, key='config', version=1, content=nested)
+    operator_row = StoreRow(table=DECLARATIONS, key='config', version=1, content=nested)
     assert isinstance(decode_row(operator_row), Invalid)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -30,17 +30,17 @@
 from plantainloft_node.entry.sharing import ROWS_CALL, RowReplication
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
 from plantainloft_node.entry.terms import local_member
-from plantainloft_node.fleet.members import Beat, MemberBook
+from plantainloft_node.fleet.members import FleetMembership, Heartbeat
 from plantainloft_node.replica.news import (
     DECLARATIONS,
     ENDPOINTS,
     Change,
     HistoryLost,
-    News,
-    NewsRow,
-    NewsStore,
+    RowBatch,
+    StoreRow,
+    TableStore,
 )
-from plantainloft_node.replica.store_watch import StoreWatch
+from plantainloft_node.replica.store_watch import StoreAvailability
 from plantainloft_platform.documents import decode_row
 
 pytestmark = pytest.mark.anyio
@@ -48,13 +48,13 @@
 FAILED = Unreachable(reason='503')
 # How long a missing row may be treated as expired, with its endpoint kept in use.
 EXPIRY_GRACE_S = 2.3
-Outcome = News | HistoryLost | Unreachable
+Outcome = RowBatch | HistoryLost | Unreachable
 NOW = 1000.0
 # Each instance gets its own host: listeners of an earlier test may still be bound.
 HOSTS = itertools.count(100)
 
 
-class ScriptedStore(NewsStore):
+class ScriptedStore(TableStore):
     """Answers the calls for each table with scripted outcomes, in their order."""
 
     def __init__(self) -> None:
@@ -69,29 +69,29 @@
         for outcome in outcomes:
             self._scripted_by_table[table][0].send_nowait(outcome)
 
-    async def list_rows(self, table: str) -> News | Unreachable:
+    async def list_rows(self, table: str) -> RowBatch | Unreachable:
         if table not in self.calls_by_table:
-            return News((), 1)
+            return RowBatch((), 1)
         found = await self._next(table)
         assert not isinstance(found, HistoryLost)
         return found
 
-    async def changes(self, table: str, *, after: int, wait_s: float) -> Outcome:
+    async def changes_after(self, table: str, *, after: int, poll_wait_s: float) -> Outcome:
         return await self._next(table)
 
     async def put_row(self, table: str, key: str, content: bytes) -> Unreachable | None:
         return None
 
-    async def remove_row(self, row: NewsRow) -> Unreachable | None:
+    async def remove_row(self, row: StoreRow) -> Unreachable | None:
         return None
 
-    async def replace_row(self, row: NewsRow, content: bytes) -> bool | Unreachable:
+    async def replace_row(self, row: StoreRow, content: bytes) -> bool | Unreachable:
         return False
 
     async def probe(self) -> Unreachable | None:
         return FAILED if self.is_probe_failing else None
 
-    def decode(self, row: NewsRow) -> Change | Invalid | None:
+    def decode(self, row: StoreRow) -> Change | Invalid | None:
         return decode_row(row)
 
     async def _next(self, table: str) -> Outcome:
@@ -103,7 +103,7 @@
     """The parts of an entry instance that replicate rows, without request handling."""
 
     store: ScriptedStore
-    members: MemberBook
+    members: FleetMembership
     replicated_state: ReplicatedState
     row_replication: RowReplication
 
@@ -114,21 +114,27 @@
         row = self.replicated_state.rows.row_by_key.get((ENDPOINTS, endpoint_id))
         return row is not None and row.content is None
 
-    def heartbeat(self) -> Beat:
-        return Beat(self.members.me, True, False, self.replicated_state.rows.newest_by_table, {})
+    def heartbeat(self) -> Heartbeat:
+        return Heartbeat(
+            self.members.local_member,
+            True,
+            False,
+            self.replicated_state.rows.newest_version_by_table,
+            {},
+        )
 
 
-def listed_row(key: str, version: int) -> NewsRow:
+def listed_row(key: str, version: int) -> StoreRow:
     content = json.dumps(endpoint_document('127.0.0.1:1')).encode()
-    return NewsRow(ENDPOINTS, key, version, content)
+    return StoreRow(ENDPOINTS, key, version, content)
 
 
-def deleted_row(key: str, version: int) -> NewsRow:
-    return NewsRow(ENDPOINTS, key, version, None)
+def deleted_row(key: str, version: int) -> StoreRow:
+    return StoreRow(ENDPOINTS, key, version, None)
 
 
-INITIAL_LISTING = News((listed_row('i-1', 1), listed_row('i-2', 2)), 2)
-REMOVAL = News((deleted_row('i-1', 3),), 3)
+INITIAL_LISTING = RowBatch((listed_row('i-1', 1), listed_row('i-2', 2)), 2)
+REMOVAL = RowBatch((deleted_row('i-1', 3),), 3)
 
 
 async def wait_until(probe: Callable[[], bool]) -> None:
@@ -146,7 +152,7 @@
     settings = parse_entry_settings(text)
     assert not isinstance(settings, Invalid)
     store = ScriptedStore()
-    members = MemberBook(me=local_member(settings))
+    members = FleetMembership(local_member=local_member(settings))
     replicated_state = ReplicatedState(
         store=store, region_by_zone=settings.region_by_zone, long_poll_wait_s=lambda: 4.0
     )
@@ -160,7 +166,7 @@
             calls.serve,
             {ROWS_CALL: row_replication.answer_rows_call, PROBE_CALL: probes.answer_probe_call},
         )
-        for part in (*replicated_state.followers.values(), probes):
+        for part in (*replicated_state.pollers.values(), probes):
             tasks.start_soon(part.run)
         store.script(ENDPOINTS, INITIAL_LISTING)
         await wait_until(lambda: len(replicated_state.endpoint_registry.by_id) == 2)
@@ -185,8 +191,8 @@
     """Record that each has received the other's heartbeats for ``for_s`` seconds."""
     now = anyio.current_time()
     for at in (now - for_s, now - for_s / 2, now):
-        first.members.hear(second.heartbeat(), at)
-        second.members.hear(first.heartbeat(), at)
+        first.members.record_heartbeat(second.heartbeat(), at)
+        second.members.record_heartbeat(first.heartbeat(), at)
 
 
 async def fail_poll(instance: Instance) -> None:
@@ -319,11 +325,11 @@
     store was available since it was sent, the endpoints would seem to have left.
     In the run of a whole day, ten of twelve instances dropped two endpoints at once.
     """
-    watch = StoreWatch()
-    watch.note_failed(due_at=NOW + 0.3)
-    watch.note_answered(sent_at=NOW - 0.7, now=NOW + 3.2)
-    assert watch.may_have_lapsed(NOW + 3.2)
-    assert not watch.may_have_lapsed(NOW + 3.3 + EXPIRY_GRACE_S)
+    availability = StoreAvailability()
+    availability.record_failure(due_at=NOW + 0.3)
+    availability.record_answer(sent_at=NOW - 0.7, now=NOW + 3.2)
+    assert availability.may_have_expired(NOW + 3.2)
+    assert not availability.may_have_expired(NOW + 3.3 + EXPIRY_GRACE_S)
 
 
 def test_a_failure_noticed_late_counts_from_when_the_answer_was_due() -> None:
@@ -332,18 +338,18 @@
     The lost poll times out 2 s after the store recovered, which an answer to
     another poll has shown in the meantime.
     """
-    watch = StoreWatch()
-    watch.note_answered(sent_at=NOW + 1, now=NOW + 1)
-    watch.note_failed(due_at=NOW)
-    assert watch.may_have_lapsed(NOW + 3)
-    assert not watch.may_have_lapsed(NOW + 1.1 + EXPIRY_GRACE_S)
+    availability = StoreAvailability()
+    availability.record_answer(sent_at=NOW + 1, now=NOW + 1)
+    availability.record_failure(due_at=NOW)
+    assert availability.may_have_expired(NOW + 3)
+    assert not availability.may_have_expired(NOW + 1.1 + EXPIRY_GRACE_S)
 
 
 def test_a_peers_answer_does_not_explain_a_later_failure() -> None:
-    watch = StoreWatch()
-    watch.note_failed(due_at=NOW)
-    watch.note_served_elsewhere(since=NOW - 60, asked_at=NOW + 0.1)
-    assert not watch.may_have_lapsed(NOW + 0.2)
-    watch.note_failed(due_at=NOW + 1)
-    watch.note_served_elsewhere(since=NOW - 60, asked_at=NOW + 0.1)
-    assert watch.may_have_lapsed(NOW + 1.1)
+    availability = StoreAvailability()
+    availability.record_failure(due_at=NOW)
+    availability.record_peer_access(since=NOW - 60, asked_at=NOW + 0.1)
+    assert not availability.may_have_expired(NOW + 0.2)
+    availability.record_failure(due_at=NOW + 1)
+    availability.record_peer_access(since=NOW - 60, asked_at=NOW + 0.1)
+    assert availability.may_have_expired(NOW + 1.1)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,7 +6,7 @@
 
 from plantainloft_core.organisations import Organisation, RateLimit, build_organisation_index
 from plantainloft_node.fleet.demand import fleet_size
-from plantainloft_node.fleet.ranking import relays_in
+from plantainloft_node.fleet.ranking import zone_relays
 from plantainloft_node.limits.limiter import DEFAULT_LIMIT_SETTINGS, LimitSettings, RequestLimiter
 from plantainloft_node.limits.shares import (
     DemandProportionalShares,
@@ -252,7 +252,7 @@
     )
     isolated = set(simulation.model.running()[::3])
     simulation.run_for(3)
-    simulation.model.passes = lambda one, other: (
+    simulation.model.can_deliver = lambda one, other: (
         one.name not in isolated and other.name not in isolated
     )
     simulation.run_for(14)
@@ -288,8 +288,8 @@
     simulation.run_for(4)
     model = simulation.model
     for instance in list(model.instance_by_name.values()):
-        zone = instance.members.known.by_zone()[instance.members.me.zone]
-        if instance.members.me in relays_in(zone, instance.members, model.now):
+        zone = instance.members.registry.by_zone()[instance.members.local_member.zone]
+        if instance.members.local_member in zone_relays(zone, instance.members, model.now):
             instance.runs = False
     assert len(model.running()) == 48
     simulation.run_for(10)
@@ -299,7 +299,7 @@
 def test_an_isolated_instance_takes_an_equal_share_within_two_seconds() -> None:
     simulation = simulation_of(usual_flow(LARGE), shape=TWELVE_INSTANCES)
     isolated = simulation.model.instance_by_name['r0-z0-0']
-    simulation.model.passes = lambda one, other: 'r0-z0-0' not in (one.name, other.name)
+    simulation.model.can_deliver = lambda one, other: 'r0-z0-0' not in (one.name, other.name)
     simulation.run_for(2.0)
     assert fleet_size(isolated.members, simulation.model.now).reporting == 1
     usage = isolated.limiter.usage_by_organisation(
@@ -327,7 +327,7 @@
     simulation = simulation_of(usual_flow(LARGE, times=5.0), shape=TWELVE_INSTANCES, seed=seed)
     names = simulation.model.running()
     partition: set[str] = set()
-    simulation.model.passes = lambda one, other: (
+    simulation.model.can_deliver = lambda one, other: (
         (one.name in partition) == (other.name in partition)
     )
     for fault, number, wait_s in steps:
@@ -349,7 +349,7 @@
     elif fault == 'stop':
         model.instance_by_name[name].runs = False
     elif not model.instance_by_name[name].runs:
-        model.wake(name)
+        model.resume(name)
 
 
 def test_reports_of_uses_fit_into_one_packet() -> None:
@@ -363,6 +363,6 @@
     for _ in range(10):
         simulation.run_for(0.5)
         for instance in model.instance_by_name.values():
-            messages = instance.relaying.round(model.now, to_all=True)
-            sizes += [len(message.packed) for message in messages]
+            datagrams = instance.report_planner.plan_round(model.now, include_not_due=True)
+            sizes += [len(one.packed) for one in datagrams]
     assert max(sizes) <= 1472
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -24,7 +24,7 @@
 )
 from plantainloft_core.outcomes import Invalid
 from plantainloft_core.routes import NO_REGIONS, RouteTable
-from plantainloft_node.replica.news import DECLARATIONS, NewsRow, RoutesDeclared
+from plantainloft_node.replica.news import DECLARATIONS, RoutesDeclared, StoreRow
 from plantainloft_platform.documents import decode_row
 from plantainloft_platform.organisations import replace_keys_with_digests
 
@@ -196,8 +196,8 @@
     return json.dumps({'version': 7, 'resources': entries}).encode()
 
 
-def config_row(content: bytes) -> NewsRow:
-    return NewsRow(table=DECLARATIONS, key='config', version=1, content=content)
+def config_row(content: bytes) -> StoreRow:
+    return StoreRow(table=DECLARATIONS, key='config', version=1, content=content)
 
 
 def test_stored_row_contains_only_key_digests() -> None:
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -7,8 +7,8 @@
 from plantainloft_node.placing.endpoints import EndpointRegistry
 from plantainloft_node.placing.health import EndpointHealth
 from plantainloft_node.placing.pace import ServiceLatency, longest_timeout_by_service
-from plantainloft_node.replica.beliefs import Beliefs
-from plantainloft_node.replica.news import EndpointListed, NewsRow, RoutesDeclared
+from plantainloft_node.replica.beliefs import RoutingState
+from plantainloft_node.replica.news import EndpointListed, RoutesDeclared, StoreRow
 
 NOW = 1000.0
 
@@ -68,10 +68,10 @@
     endpoint_registry = EndpointRegistry(region_by_zone={})
     table = make_route_table(make_route(idempotent=True, prefix='/a/', timeout_s=4.0))
 
-    def decode(row: NewsRow) -> RoutesDeclared | EndpointListed | Invalid | None:
+    def decode(row: StoreRow) -> RoutesDeclared | EndpointListed | Invalid | None:
         return RoutesDeclared(table=table)
 
-    Beliefs(endpoint_registry=endpoint_registry, decode=decode).take(
-        [NewsRow('t', 'k', 1, b'')], NOW, source='store'
+    RoutingState(endpoint_registry=endpoint_registry, decode=decode).apply_rows(
+        [StoreRow('t', 'k', 1, b'')], NOW, source='store'
     )
     assert endpoint_registry.latency_of(SERVICE).max_silence_s == pytest.approx(3.0)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -29,9 +29,9 @@
     EndpointListed,
     EndpointUnreadable,
     HistoryLost,
-    News,
-    NewsRow,
     RoutesDeclared,
+    RowBatch,
+    StoreRow,
     ZoneEvacuation,
 )
 from plantainloft_platform.documents import decode_row
@@ -40,9 +40,9 @@
 pytestmark = pytest.mark.anyio
 
 
-def row(key: str, document: object, *, table: str = DECLARATIONS) -> NewsRow:
+def row(key: str, document: object, *, table: str = DECLARATIONS) -> StoreRow:
     content = None if document is None else json.dumps(document).encode()
-    return NewsRow(table=table, key=key, version=1, content=content)
+    return StoreRow(table=table, key=key, version=1, content=content)
 
 
 def test_rows_are_decoded_into_changes() -> None:
@@ -71,29 +71,33 @@
         for number in range(3):
             standin.put(ENDPOINT_TABLE, f'i-{number}', endpoint_document('10.0.0.1:80'))
         listed = await store.list_rows(ENDPOINTS)
-        assert isinstance(listed, News) and len(listed.rows) == 3
+        assert isinstance(listed, RowBatch) and len(listed.rows) == 3
 
         async def remove_later() -> None:
             await anyio.sleep(0.05)
             standin.remove(ENDPOINT_TABLE, 'i-1')
 
         tasks.start_soon(remove_later)
-        news = await store.changes(ENDPOINTS, after=listed.version, wait_s=2.0)
-        assert isinstance(news, News)
-        assert [(changed.key, changed.content) for changed in news.rows] == [('i-1', None)]
+        batch = await store.changes_after(ENDPOINTS, after=listed.version, poll_wait_s=2.0)
+        assert isinstance(batch, RowBatch)
+        assert [(changed.key, changed.content) for changed in batch.rows] == [('i-1', None)]
 
 
 async def test_store_failures_are_returned_as_outcomes() -> None:
     async with running_store() as (standin, _):
         store = PlatformStore(address=standin.address)
         standin.oldest_history_version = 5
-        assert isinstance(await store.changes(ENDPOINTS, after=1, wait_s=0.1), HistoryLost)
+        assert isinstance(
+            await store.changes_after(ENDPOINTS, after=1, poll_wait_s=0.1), HistoryLost
+        )
         standin.is_unavailable = True
         rejected = await store.list_rows(ENDPOINTS)
         assert isinstance(rejected, Unreachable) and rejected.reason == '503'
         standin.is_unavailable = False
         standin.is_unresponsive = True
-        assert isinstance(await store.changes(ENDPOINTS, after=9, wait_s=0.1), Unreachable)
+        assert isinstance(
+            await store.changes_after(ENDPOINTS, after=9, poll_wait_s=0.1), Unreachable
+        )
     assert isinstance(await store.list_rows(ENDPOINTS), Unreachable)
 
 
--- a/tests/test_polling.py
+++ b/tests/test_polling.py
@@ -2,7 +2,7 @@
 
 from plantainloft_node.entry.observing import POLL_PAUSE_S_BY_TABLE
 from plantainloft_node.entry.polling import LONG_WAIT_S, SHORT_WAIT_S, poll_wait_s
-from plantainloft_node.fleet.members import Beat, FleetMember, MemberBook
+from plantainloft_node.fleet.members import FleetMember, FleetMembership, Heartbeat
 from plantainloft_node.replica.follower import BACKOFF_MIN_S
 from plantainloft_node.replica.news import ENDPOINTS
 from plantainloft_platform.store import CALL_TIMEOUT_S
@@ -22,10 +22,10 @@
     """Return the poll wait of each of ``count`` instances that all hear each other."""
     found = []
     for number in range(count):
-        book = MemberBook(me=member(number))
+        members = FleetMembership(local_member=member(number))
         for other in range(count):
-            book.hear(Beat(member(other), True, False, {}, {}), NOW)
-        found.append(poll_wait_s(book, NOW))
+            members.record_heartbeat(Heartbeat(member(other), True, False, {}, {}), NOW)
+        found.append(poll_wait_s(members, NOW))
     return found
 
 
@@ -51,7 +51,7 @@
 
 
 def test_an_instance_without_heartbeats_uses_the_short_wait() -> None:
-    book = MemberBook(me=member(1))
+    members = FleetMembership(local_member=member(1))
     for other in range(72):
-        book.hear(Beat(member(other), True, False, {}, {}), NOW)
-    assert poll_wait_s(book, NOW + 60) == SHORT_WAIT_S
+        members.record_heartbeat(Heartbeat(member(other), True, False, {}, {}), NOW)
+    assert poll_wait_s(members, NOW + 60) == SHORT_WAIT_S
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -9,9 +9,9 @@
 import pytest
 
 from plantainloft_node.fleet.datagrams import PackedReport, pack_datagrams
-from plantainloft_node.fleet.intake import Intake
-from plantainloft_node.fleet.members import Beat, FleetMember, MemberBook
-from plantainloft_node.fleet.ranking import relays_in
+from plantainloft_node.fleet.intake import ReportReceiver
+from plantainloft_node.fleet.members import FleetMember, FleetMembership, Heartbeat
+from plantainloft_node.fleet.ranking import zone_relays
 from plantainloft_node.fleet.report_codec import pack_report
 from plantainloft_node.fleet.reports import ZoneReport
 from plantainloft_node.quarantine.crash_book import CrashRegistry
@@ -59,15 +59,15 @@
             for number in range(40):
                 request = RequestFingerprint(b'%012d' % number, b'c' * 8)
                 instance.crash_registry.record_crash(request, f'i{model.now}', model.now)
-            messages = instance.relaying.round(model.now, to_all=True)
-            sizes += [len(message.packed) for message in messages]
+            datagrams = instance.report_planner.plan_round(model.now, include_not_due=True)
+            sizes += [len(one.packed) for one in datagrams]
     assert max(sizes) <= MAX_PACKET_BYTES
 
 
 def relays_of(model: FleetModel, zone: str) -> list[str]:
     observer = next(one for name, one in model.instance_by_name.items() if name.startswith(zone))
-    members = observer.members.known.by_zone()[zone]
-    return [relay.name for relay in relays_in(members, observer.members, model.now)]
+    members = observer.members.registry.by_zone()[zone]
+    return [relay.name for relay in zone_relays(members, observer.members, model.now)]
 
 
 def stop(model: FleetModel, *names: str) -> None:
@@ -166,11 +166,11 @@
 
 def test_a_partitioned_zone_rejoins(settled: Settled) -> None:
     model = settled(MEDIUM)
-    model.passes = lambda one, other: (one.zone == 'r1-z1') == (other.zone == 'r1-z1')
+    model.can_deliver = lambda one, other: (one.zone == 'r1-z1') == (other.zone == 'r1-z1')
     model.run_for(DETECTION_S)
     outside = [name for name in model.running() if not name.startswith('r1-z1')]
     assert all(not name.startswith('r1-z1') for one in outside for name in model.up_at(one))
-    model.passes = lambda one, other: True
+    model.can_deliver = lambda one, other: True
     model.run_for(DETECTION_S)
     assert model.disagreeing() == {}
 
@@ -186,10 +186,10 @@
     def is_odd(member: FleetMember) -> bool:
         return int(member.name.rpartition('-')[2]) % 2 == 1
 
-    model.passes = lambda one, other: is_odd(one) == is_odd(other)
+    model.can_deliver = lambda one, other: is_odd(one) == is_odd(other)
     model.run_for(DETECTION_S)
     assert len(model.up_at('r0-z0-1')) == 6
-    model.passes = lambda one, other: True
+    model.can_deliver = lambda one, other: True
     model.run_for(SETTLED_S)
     assert model.disagreeing() == {}
 
@@ -198,7 +198,7 @@
     """Datagrams to it are delivered, those from it are not."""
     model = settled(MEDIUM)
     muted = 'r2-z1-4'
-    model.passes = lambda one, other: one.name != muted
+    model.can_deliver = lambda one, other: one.name != muted
     model.run_for(DETECTION_S)
     assert observers_of(model, muted) == set()
 
@@ -208,7 +208,7 @@
 ) -> None:
     model = settled(MEDIUM)
     disconnected = {'r0-z0', 'r0-z1'}
-    model.passes = lambda one, other: (
+    model.can_deliver = lambda one, other: (
         one.zone == other.zone or {one.zone, other.zone} != disconnected
     )
     model.run_for(DETECTION_S)
@@ -226,7 +226,7 @@
     model.run_for(SETTLED_S)
     assert model.disagreeing() == {}
     for one in model.instance_by_name.values():
-        assert {member.incarnation for member in one.members.up(model.now)} == {2}
+        assert {member.incarnation for member in one.members.peers_up(model.now)} == {2}
 
 
 def test_an_instance_paused_for_seconds_is_up_again(settled: Settled) -> None:
@@ -235,7 +235,7 @@
     stop(model, paused)
     model.run_for(DETECTION_S)
     assert observers_of(model, paused) == set()
-    model.wake(paused)
+    model.resume(paused)
     model.run_for(DETECTION_S)
     assert model.disagreeing() == {}
 
@@ -256,39 +256,39 @@
         region = f'r{number}'
         for one in in_region(model, region) - {name}:
             members = model.instance_by_name[one].members
-            assert name not in {member.name for member in members.serving(model.now)}
+            assert name not in {member.name for member in members.serving_peers(model.now)}
         model.run_for(3)
         for other, instance in model.instance_by_name.items():
-            serving = {member.name for member in instance.members.serving(model.now)}
+            serving = {member.name for member in instance.members.serving_peers(model.now)}
             assert other == name or name not in serving
 
 
 @pytest.mark.parametrize('seed', range(6))
 def test_views_agree_again_after_a_series_of_faults(seed: int) -> None:
     """Overlapping kills, pauses, restarts and partitions in a random order."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     model = FleetModel(shape=FleetShape(instances=5, loss=0.03, seed=seed))
     model.start_all()
     model.run_for(5)
     names = sorted(model.instance_by_name)
     for _ in range(30):
-        targets = chance.sample(names, chance.choice((1, 1, 2, 8)))
-        fault = chance.choice(('stop', 'start', 'wake', 'cut', 'heal'))
+        targets = rng.sample(names, rng.choice((1, 1, 2, 8)))
+        fault = rng.choice(('stop', 'start', 'wake', 'cut', 'heal'))
         if fault == 'stop':
             stop(model, *targets)
         elif fault == 'cut':
             cut = set(targets)
-            model.passes = lambda one, other, cut=cut: (one.name in cut) == (other.name in cut)
+            model.can_deliver = lambda one, other, cut=cut: (one.name in cut) == (other.name in cut)
         elif fault == 'heal':
-            model.passes = lambda one, other: True
+            model.can_deliver = lambda one, other: True
         else:
             for name in targets:
                 if fault == 'start':
                     model.start(name)
                 elif not model.instance_by_name[name].runs:
-                    model.wake(name)
-        model.run_for(chance.uniform(0.1, 3))
-    model.passes = lambda one, other: True
+                    model.resume(name)
+        model.run_for(rng.uniform(0.1, 3))
+    model.can_deliver = lambda one, other: True
     model.run_for(15)
     assert model.running()
     assert model.disagreeing() == {}
@@ -298,9 +298,9 @@
     return FleetMember(name, incarnation, 'ankara', 'a', f'{name}:80', f'{name}:90')
 
 
-def datagram(name: str, *, number: int = 1, sender: str = '', leaving: bool = False) -> bytes:
-    beat = Beat(member(name), True, leaving, {}, {})
-    report = PackedReport(pack_report(ZoneReport(number, beat, {}, (), ())), 0.0)
+def datagram(name: str, *, number: int = 1, sender: str = '', draining: bool = False) -> bytes:
+    heartbeat = Heartbeat(member(name), True, draining, {}, {})
+    report = PackedReport(pack_report(ZoneReport(number, heartbeat, {}, (), ())), 0.0)
     return pack_datagrams(sender or name, wants_reports=True, reports=[report])[0]
 
 
@@ -316,27 +316,27 @@
     ],
 )
 def test_a_malformed_datagram_is_ignored(packed: bytes) -> None:
-    book = MemberBook(me=member('e1'))
-    intake = Intake(members=book, crash_registry=CrashRegistry())
-    assert intake.take(packed, 'e2', 1.0) is None
-    assert book.everyone() == []
+    members = FleetMembership(local_member=member('e1'))
+    report_receiver = ReportReceiver(members=members, crash_registry=CrashRegistry())
+    assert report_receiver.receive(packed, 'e2', 1.0) is None
+    assert members.peers() == []
 
 
 def test_a_datagram_with_a_forged_sender_is_ignored() -> None:
-    book = MemberBook(me=member('e1'))
-    intake = Intake(members=book, crash_registry=CrashRegistry())
-    intake.take(datagram('e2', leaving=True), 'stranger', 1.0)
-    assert book.everyone() == []
-    intake.take(datagram('e2'), 'e2', 1.0)
-    intake.take(datagram('e2', number=9, leaving=True), 'stranger', 1.1)
-    assert [one.name for one in book.serving(1.2)] == ['e2']
+    members = FleetMembership(local_member=member('e1'))
+    report_receiver = ReportReceiver(members=members, crash_registry=CrashRegistry())
+    report_receiver.receive(datagram('e2', draining=True), 'stranger', 1.0)
+    assert members.peers() == []
+    report_receiver.receive(datagram('e2'), 'e2', 1.0)
+    report_receiver.receive(datagram('e2', number=9, draining=True), 'stranger', 1.1)
+    assert [one.name for one in members.serving_peers(1.2)] == ['e2']
 
 
 def test_a_duplicate_datagram_does_not_prolong_liveness() -> None:
-    book = MemberBook(me=member('e1'))
-    intake = Intake(members=book, crash_registry=CrashRegistry())
+    members = FleetMembership(local_member=member('e1'))
+    report_receiver = ReportReceiver(members=members, crash_registry=CrashRegistry())
     packed = datagram('e2', number=5)
-    intake.take(packed, 'e2', 1.0)
-    intake.take(packed, 'e2', 2.5)
-    intake.take(datagram('e2', number=4), 'e2', 2.6)
-    assert book.serving(3.0) == []
+    report_receiver.receive(packed, 'e2', 1.0)
+    report_receiver.receive(packed, 'e2', 2.5)
+    report_receiver.receive(datagram('e2', number=4), 'e2', 2.6)
+    assert members.serving_peers(3.0) == []
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -12,9 +12,14 @@
 from plantainloft_node.entry.settings import EntrySettings, parse_entry_settings
 from plantainloft_node.entry.sharing import RowReplication
 from plantainloft_node.entry.terms import local_member
-from plantainloft_node.fleet.members import GONE_AFTER_S, Beat, FleetMember, MemberBook
+from plantainloft_node.fleet.members import (
+    REPLACED_AFTER_S,
+    FleetMember,
+    FleetMembership,
+    Heartbeat,
+)
 from plantainloft_node.placing.affinity import rendezvous_score
-from plantainloft_node.replica.news import INSTANCES, News
+from plantainloft_node.replica.news import INSTANCES, RowBatch
 from plantainloft_node.streams.links import PeerConnections
 from plantainloft_platform.store import PlatformStore
 
@@ -37,12 +42,12 @@
 
 async def listed_names(store: PlatformStore) -> list[str]:
     listed = await store.list_rows(INSTANCES)
-    assert isinstance(listed, News)
+    assert isinstance(listed, RowBatch)
     return sorted(msgpack.unpackb(row.content or b'')[0] for row in listed.rows)
 
 
 async def register(store: PlatformStore, one: FleetMember) -> None:
-    await store.put_row(INSTANCES, one.front, msgpack.packb(list(one)))
+    await store.put_row(INSTANCES, one.caller_address, msgpack.packb(list(one)))
 
 
 @pytest.mark.parametrize('delegates', [False, True])
@@ -73,11 +78,11 @@
         )
         row_replication = RowReplication(
             calls=PeerCalls(settings=settings, tasks=tasks),
-            members=MemberBook(me=local_member(settings)),
+            members=FleetMembership(local_member=local_member(settings)),
             replicated_state=replicated_state,
             tasks=tasks,
         )
-        row_replication.on_heartbeat(Beat(member('e2'), True, False, {'endpoints': 9}, {}))
+        row_replication.on_heartbeat(Heartbeat(member('e2'), True, False, {'endpoints': 9}, {}))
         with anyio.fail_after(5):
             while not any(getattr(line, 'kind', '') == 'bad_news' for line in caplog.records):
                 await anyio.sleep(0.05)
@@ -92,7 +97,7 @@
         store = PlatformStore(address=standin.address)
         await register(store, member('e2'))
         listed = await store.list_rows(INSTANCES)
-        assert isinstance(listed, News)
+        assert isinstance(listed, RowBatch)
         await register(store, member('e2', incarnation=2))
         assert await store.remove_row(listed.rows[0]) is None
         assert await listed_names(store) == ['e2']
@@ -108,7 +113,7 @@
     async with running_store() as (standin, tasks):
         settings = entry_settings(standin.address)
         store = PlatformStore(address=standin.address)
-        members = MemberBook(me=local_member(settings))
+        members = FleetMembership(local_member=local_member(settings))
         now = anyio.current_time()
         # The names decide which live instance deregisters others. Choose a name for
         # which it is the local one.
@@ -117,12 +122,14 @@
             for name in map(str, range(9))
             if rendezvous_score(name, 'e1') > rendezvous_score(name, 'e2')
         )
-        members.hear(Beat(member(gone), True, False, {}, {}), now - GONE_AFTER_S - 1)
-        members.hear(Beat(member('e2'), True, False, {}, {}), now)
+        members.record_heartbeat(
+            Heartbeat(member(gone), True, False, {}, {}), now - REPLACED_AFTER_S - 1
+        )
+        members.record_heartbeat(Heartbeat(member('e2'), True, False, {}, {}), now)
         for name in (gone, 'e2'):
             await register(store, member(name))
         tasks.start_soon(InstanceRegistry(members=members, store=store).run)
         with anyio.fail_after(10):
             while await listed_names(store) != ['e1', 'e2']:
                 await anyio.sleep(0.05)
-        assert gone not in {one.name for one in members.everyone()}
+        assert gone not in {one.name for one in members.peers()}
