--- a/bench/starting.py
+++ b/bench/starting.py
@@ -32,7 +32,7 @@
                 'PYTHONPATH': 'target/deps',
                 'PLANTAINLOFT_CONFIG': str(self.settings_path),
             },
-            stdout=self._log,
+            stdout=self._log_file,
             stderr=subprocess.STDOUT,
         )
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -140,7 +140,7 @@
     await wait_until_equal(lambda: count_resolved_addresses(first), 2)
     entry_deployment.store.is_unavailable = True
     second.kill()
-    second._log = second.log_path.open('wb')
+    second._log_file = second.log_path.open('wb')
     second.start()
     await second.wait_until_ready()
     assert await requests_per_endpoint(entry_deployment, second) == (1, 0)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -64,7 +64,7 @@
     """
     entry = entry_deployment.entry_processes[0]
     entry.kill()
-    entry._log = entry.log_path.open('wb')
+    entry._log_file = entry.log_path.open('wb')
     entry.start()
 
     async def blocks_reload_signal() -> bool:
