--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -15,12 +15,17 @@
 from typing import Any, NamedTuple
 from unittest import mock
 
-from plantainloft_node.placing import choosing, endpoints, placement
-from plantainloft_node.placing.budget import RetryBudget
-from plantainloft_node.placing.spilling import SpilloverDecayLimiter
-from plantainloft_standins import load_model
+from plantainloft_node.placement import endpoints, placement, selection
+from plantainloft_node.placement.retry_budget import RetryBudget
+from plantainloft_node.placement.spillover import SpilloverDecayLimiter
+from plantainloft_standins import load_simulation
 from plantainloft_standins.deployments import nearby_regions_scenario
-from plantainloft_standins.load_model import Scenario, Workload, earned_value_fraction, simulate
+from plantainloft_standins.load_simulation import (
+    Scenario,
+    Workload,
+    earned_value_fraction,
+    simulate,
+)
 
 ORDERS = Workload('orders', 55.0, 0.34, 0.27, 1.5, 0, 3.0, 24)
 HOLDS = Workload('holds', 66.0, 0.64, 0.47, 3.0, 1, 2.0, 24)
@@ -88,9 +93,9 @@
     """Return the first endpoint in rank order with a free slot, warm or not."""
     for rank, state in enumerate(group):
         load = state.load(now)
-        if load < state.record.slots * (choosing.SPILL_MAX_USED_FRACTION if rank else 1.0):
-            return choosing.Selection(endpoint=state, load=load, rank=rank)
-    return choosing.earliest_completion(group[:1], wanted, now)
+        if load < state.record.slots * (selection.SPILL_MAX_USED_FRACTION if rank else 1.0):
+            return selection.Selection(endpoint=state, load=load, rank=rank)
+    return selection.earliest_completion(group[:1], wanted, now)
 
 
 def mechanisms() -> list[Mechanism]:
@@ -108,10 +113,10 @@
         ),
         Mechanism('slow endpoints skipped', endpoints, 'SLOW_FACTOR', math.inf),
         Mechanism('region shares', placement.Placement, '_region_of', _own_region),
-        Mechanism('demand of other instances', load_model, 'demand_by_region', _no_demand),
+        Mechanism('demand of other instances', load_simulation, 'demand_by_region', _no_demand),
         Mechanism('candidates in other regions', placement, 'REMOTE_CANDIDATES', 0),
-        Mechanism('queues by priority', choosing, 'QUEUE_RATIO_BY_PRIORITY', (1.0, 1.0, 1.0)),
-        Mechanism('refusal by expected time', choosing, '_worst_case_answer_s', _zero_wait),
+        Mechanism('queues by priority', selection, 'QUEUE_RATIO_BY_PRIORITY', (1.0, 1.0, 1.0)),
+        Mechanism('refusal by expected time', selection, '_worst_case_answer_s', _zero_wait),
         Mechanism('retries', RetryBudget, 'try_acquire', never),
     ]
 
--- a/bench/crash_plays.py
+++ b/bench/crash_plays.py
@@ -10,8 +10,8 @@
 
 import sys
 
-from plantainloft_node.quarantine.crashes import INITIAL_TRIAL_DELAY_S
-from plantainloft_standins.crash_draws import random_simulation
+from plantainloft_node.quarantine.crash_records import INITIAL_TRIAL_DELAY_S
+from plantainloft_standins.random_crash_simulations import random_simulation
 
 DEFAULT_SEEDS = 50
 MAX_LATE_REQUESTS = 3
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -21,7 +21,7 @@
 import httpx
 from processes import cpu_seconds, resident_mb
 
-from plantainloft_core.committing import commit_patch
+from plantainloft_core.commits import commit_patch
 from plantainloft_core.outcomes import Committed
 from plantainloft_core.table_client import TableClient
 from plantainloft_standins.cluster import Cluster, start_cluster
--- a/bench/leaving.py
+++ b/bench/leaving.py
@@ -2,7 +2,7 @@
 
     .venv/bin/python bench/leaving.py [instances ...]
 
-Simulates (`plantainloft_standins.leaving_model`) a store that fails a third of
+Simulates (`plantainloft_standins.leaving_simulation`) a store that fails a third of
 the instances for 16 s while four endpoints leave, and a store that is down for
 all for 5.2 s while rows expire; both silent and refusing. Prints a Markdown
 table: the longest use after a row was removed, store calls per instance and
@@ -14,8 +14,12 @@
 import sys
 from typing import NamedTuple
 
-from plantainloft_standins.leaving_model import LeavingResult, LeavingScenario, simulate_leaving
-from plantainloft_standins.store_model import FailureMode, Outage
+from plantainloft_standins.leaving_simulation import (
+    LeavingResult,
+    LeavingScenario,
+    simulate_leaving,
+)
+from plantainloft_standins.simulated_store import FailureMode, Outage
 
 SIZES = (12, 24, 48)
 REGIONS = 3
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -11,8 +11,8 @@
 
 from plantainloft_core.organisations import Organisation, RateLimit
 from plantainloft_node.limits.limiter import LimitSettings, RequestLimiter
+from plantainloft_node.limits.organisation_usage import decode_usage, encode_usage
 from plantainloft_node.limits.shares import FleetSize
-from plantainloft_node.limits.uses import decode_usage, encode_usage
 
 ORGANISATIONS = 73
 CALLS = 2000
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -7,8 +7,8 @@
 import tracemalloc
 from collections.abc import Callable
 
-from plantainloft_node.quarantine.crash_book import MAX_TRACKED_REQUESTS, CrashRegistry
 from plantainloft_node.quarantine.crash_codec import pack_crashes
+from plantainloft_node.quarantine.crash_registry import MAX_TRACKED_REQUESTS, CrashRegistry
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint, compute_fingerprint
 
 CALLS = 2000
--- a/packages/core/src/plantainloft_core/committing.py
+++ b/packages/core/src/plantainloft_core/commits.py
@@ -16,8 +16,8 @@
 from plantainloft_core.outcomes import Committed, Conflict, Invalid, Unreachable
 from plantainloft_core.patching import apply_patch
 from plantainloft_core.shift_check import check_shift
-from plantainloft_core.shifting import SHIFT_WINDOW_S
 from plantainloft_core.table_client import LostResponse, TableClient, TxnConflict
+from plantainloft_core.traffic_split import SHIFT_WINDOW_S
 from plantainloft_core.versions import (
     HEAD_KEY,
     VERSIONS_PER_SNAPSHOT,
--- a/packages/core/src/plantainloft_core/roster.py
+++ b/packages/core/src/plantainloft_core/membership_list.py
@@ -14,8 +14,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
+from plantainloft_core.gossip_queue import GossipQueue
 from plantainloft_core.lookup import Member
-from plantainloft_core.news import GossipQueue
 
 __all__ = ['MemberUpdate', 'MembershipList', 'MembershipStatus']
 
--- a/packages/core/src/plantainloft_core/model.py
+++ b/packages/core/src/plantainloft_core/model.py
@@ -11,7 +11,7 @@
 from plantainloft_core.organisation_schema import parse_organisations
 from plantainloft_core.organisations import NO_ORGANISATIONS, OrganisationIndex
 from plantainloft_core.outcomes import Invalid
-from plantainloft_core.schema_problems import SchemaProblems, section_of
+from plantainloft_core.schema_validation import SchemaProblems, section_of
 
 __all__ = [
     'ClientBlock',
--- a/packages/core/src/plantainloft_core/organisation_schema.py
+++ b/packages/core/src/plantainloft_core/organisation_schema.py
@@ -20,7 +20,7 @@
     RateLimit,
     build_organisation_index,
 )
-from plantainloft_core.schema_problems import SchemaProblems, section_of
+from plantainloft_core.schema_validation import SchemaProblems, section_of
 
 __all__ = ['parse_organisations']
 
--- a/packages/core/src/plantainloft_core/shift_check.py
+++ b/packages/core/src/plantainloft_core/shift_check.py
@@ -2,7 +2,7 @@
 
 This enforces the shift cap at commit time: a patch is rejected if it removes
 so many active slots at once that more of a service's traffic than its cap
-would have to change region. At run time, ``shifting`` enforces the cap.
+would have to change region. At run time, ``traffic_split`` enforces the cap.
 """
 
 from plantainloft_core.model import Configuration
--- a/packages/core/src/plantainloft_core/versions.py
+++ b/packages/core/src/plantainloft_core/versions.py
@@ -7,7 +7,7 @@
 stored in the object store as ``config/snapshot/{n}`` (msgpack). A reader
 loads the newest snapshot and applies the patches that follow it.
 
-Versions are written by ``committing``.
+Versions are written by ``commits``.
 """
 
 from typing import Any, NamedTuple
--- a/packages/ctl/src/plantainloft_ctl/commands/explain.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/explain.py
@@ -7,7 +7,7 @@
 
 import cappa
 
-from plantainloft_ctl.explaining import explain_request, parse_log_lines
+from plantainloft_ctl.request_timeline import explain_request, parse_log_lines
 
 __all__ = ['Explain']
 
--- a/packages/ctl/src/plantainloft_ctl/commands/history.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/history.py
@@ -7,7 +7,7 @@
 
 from plantainloft_core.outcomes import Invalid, Unreachable
 from plantainloft_core.versions import Change, read_change, read_head
-from plantainloft_ctl.common import DEFAULT_TABLE_URL, exit_with_error, run_with_table
+from plantainloft_ctl.command_helpers import DEFAULT_TABLE_URL, exit_with_error, run_with_table
 
 __all__ = ['History']
 
--- a/packages/ctl/src/plantainloft_ctl/commands/losses.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/losses.py
@@ -9,7 +9,6 @@
 
 import cappa
 
-from plantainloft_ctl.explaining import parse_log_lines
 from plantainloft_ctl.losses import (
     Loss,
     LossTable,
@@ -18,6 +17,7 @@
     find_losses,
 )
 from plantainloft_ctl.plot import plot_losses
+from plantainloft_ctl.request_timeline import parse_log_lines
 
 __all__ = ['Losses']
 
--- a/packages/ctl/src/plantainloft_ctl/commands/organisations.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/organisations.py
@@ -10,7 +10,7 @@
 import httpx
 
 from plantainloft_core.organisations import digest_key
-from plantainloft_ctl.common import EXIT_FAILED
+from plantainloft_ctl.command_helpers import EXIT_FAILED
 from plantainloft_ctl.organisations import (
     aggregate_organisations,
     find_key_holders,
--- a/packages/ctl/src/plantainloft_ctl/commands/quarantine.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/quarantine.py
@@ -7,7 +7,7 @@
 import cappa
 import httpx
 
-from plantainloft_ctl.common import EXIT_FAILED
+from plantainloft_ctl.command_helpers import EXIT_FAILED
 
 __all__ = ['Quarantine']
 
--- a/packages/ctl/src/plantainloft_ctl/commands/show.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/show.py
@@ -7,7 +7,12 @@
 
 from plantainloft_core.outcomes import Invalid, Unreachable
 from plantainloft_core.versions import read_head, read_version
-from plantainloft_ctl.common import DEFAULT_TABLE_URL, exit_with_error, print_json, run_with_table
+from plantainloft_ctl.command_helpers import (
+    DEFAULT_TABLE_URL,
+    exit_with_error,
+    print_json,
+    run_with_table,
+)
 
 __all__ = ['Show']
 
--- a/packages/ctl/src/plantainloft_ctl/commands/status.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/status.py
@@ -6,7 +6,7 @@
 import cappa
 import httpx
 
-from plantainloft_ctl.gauges import format_status_table, parse_status
+from plantainloft_ctl.instance_status import format_status_table, parse_status
 
 __all__ = ['Status']
 
--- a/packages/ctl/src/plantainloft_ctl/commands/submit.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/submit.py
@@ -9,9 +9,9 @@
 
 import cappa
 
-from plantainloft_core.committing import commit_patch
+from plantainloft_core.commits import commit_patch
 from plantainloft_core.outcomes import Committed, Conflict
-from plantainloft_ctl.common import (
+from plantainloft_ctl.command_helpers import (
     DEFAULT_TABLE_URL,
     EXIT_REFUSED,
     exit_with_error,
--- a/packages/ctl/src/plantainloft_ctl/losses.py
+++ b/packages/ctl/src/plantainloft_ctl/losses.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from plantainloft_ctl.explaining import LogLine
+from plantainloft_ctl.request_timeline import LogLine
 
 __all__ = [
     'Loss',
--- a/packages/node/src/plantainloft_node/admission.py
+++ b/packages/node/src/plantainloft_node/admission.py
@@ -9,7 +9,7 @@
 from plantainloft_core.outcomes import Limited, Unauthorised
 from plantainloft_node.forwarding import Request
 from plantainloft_node.limits.limiter import LimitUsage, RequestLimiter
-from plantainloft_node.limits.peer_uses import PeerUsageReports
+from plantainloft_node.limits.peer_usage_reports import PeerUsageReports
 from plantainloft_node.limits.shares import FleetSize
 
 __all__ = ['API_KEY_HEADER', 'AdmissionControl']
--- a/packages/node/src/plantainloft_node/app.py
+++ b/packages/node/src/plantainloft_node/app.py
@@ -26,10 +26,10 @@
 )
 from plantainloft_node.admission import API_KEY_HEADER
 from plantainloft_node.forwarding import Request
-from plantainloft_node.handling import Outcome
-from plantainloft_node.limits.listing import list_organisations
+from plantainloft_node.limits.organisation_listing import list_organisations
 from plantainloft_node.node import Node
 from plantainloft_node.quarantine.fingerprints import parse_fingerprint
+from plantainloft_node.request_pipeline import Outcome
 
 __all__ = ['log_unserved', 'make_app']
 
--- a/packages/node/src/plantainloft_node/commands/run.py
+++ b/packages/node/src/plantainloft_node/commands/run.py
@@ -14,8 +14,8 @@
     load_settings,
     parse_settings,
 )
-from plantainloft_node.logs import setup_logging
-from plantainloft_node.running import run_node
+from plantainloft_node.logging_setup import setup_logging
+from plantainloft_node.node_process import run_node
 from plantainloft_node.telemetry import setup_metrics
 
 __all__ = ['Run']
--- a/packages/node/src/plantainloft_node/follower.py
+++ b/packages/node/src/plantainloft_node/config_follower.py
@@ -20,7 +20,7 @@
 from plantainloft_core.patching import apply_committed_patch
 from plantainloft_core.table_client import TableClient
 from plantainloft_core.versions import Change, Snapshot, read_head
-from plantainloft_node.sources import ConfigSource, TableConfigSource
+from plantainloft_node.config_sources import ConfigSource, TableConfigSource
 
 __all__ = ['ConfigFollower']
 
--- a/packages/node/src/plantainloft_node/deciding.py
+++ b/packages/node/src/plantainloft_node/endpoint_selection.py
@@ -12,11 +12,9 @@
 import time
 from collections.abc import Collection, Mapping, Sequence
 
-from plantainloft_core.allowances import CapacityClaims
+from plantainloft_core.capacity_claims import CapacityClaims
 from plantainloft_core.model import Configuration, Endpoint
 from plantainloft_core.outcomes import Refused
-from plantainloft_core.planning import RegionLoad, summarise_regions, target_shares
-from plantainloft_core.shifting import TrafficSplit
 from plantainloft_core.steering import (
     Choice,
     EndpointLoad,
@@ -27,7 +25,9 @@
     has_fresh_report,
     usable_slots,
 )
-from plantainloft_node.loads import EndpointLoadTracker
+from plantainloft_core.target_split import RegionLoad, summarise_regions, target_shares
+from plantainloft_core.traffic_split import TrafficSplit
+from plantainloft_node.endpoint_loads import EndpointLoadTracker
 
 __all__ = ['UPDATE_INTERVAL_S', 'EndpointSelector', 'NearestZoneSelector', 'TrafficSplitSelector']
 
--- a/packages/node/src/plantainloft_node/engine/attempts.py
+++ b/packages/node/src/plantainloft_node/engine/attempts.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from plantainloft_node.engine.endpoint_link import ResponseHead, UpstreamConnection
-from plantainloft_node.quarantine.crash_checks import EndpointAttempt
+from plantainloft_node.engine.upstream_connection import ResponseHead, UpstreamConnection
+from plantainloft_node.quarantine.crash_detector import EndpointAttempt
 
 __all__ = [
     'Answered',
--- a/packages/node/src/plantainloft_node/engine/callers.py
+++ b/packages/node/src/plantainloft_node/engine/caller_connection.py
@@ -12,8 +12,8 @@
 import h11
 from anyio.abc import SocketAttribute, SocketStream, TaskGroup
 
-from plantainloft_node.engine.bodies import BodyTooLargeError
 from plantainloft_node.engine.exchange import Connection, Exchange, ExchangeHandler
+from plantainloft_node.engine.request_body import BodyTooLargeError
 
 __all__ = ['DISCONNECT_ERRORS', 'CallerConnection']
 
--- a/packages/node/src/plantainloft_node/engine/pool.py
+++ b/packages/node/src/plantainloft_node/engine/connection_pool.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Collection
 
-from plantainloft_node.engine.endpoint_link import UpstreamConnection
+from plantainloft_node.engine.upstream_connection import UpstreamConnection
 
 __all__ = ['ConnectionPool']
 
--- a/packages/node/src/plantainloft_node/engine/dispatch.py
+++ b/packages/node/src/plantainloft_node/engine/dispatcher.py
@@ -24,18 +24,18 @@
     PlacementDetails,
     Refusal,
 )
-from plantainloft_node.engine.dialect import HeaderNames
-from plantainloft_node.engine.endpoint_link import UpstreamRequest
 from plantainloft_node.engine.exchange import Exchange
-from plantainloft_node.engine.heads import Headers, forwardable_headers
-from plantainloft_node.engine.replies import request_id
+from plantainloft_node.engine.header_names import HeaderNames
+from plantainloft_node.engine.headers import Headers, forwardable_headers
+from plantainloft_node.engine.responses import request_id
 from plantainloft_node.engine.sender import EndpointRequest, Sender
-from plantainloft_node.placing.budget import RetryAllowance, RetryBudget
-from plantainloft_node.placing.demand import DemandMeter
-from plantainloft_node.placing.placement import NoCapacity, Placement, PlacementRequest, Selection
-from plantainloft_node.placing.splitting import SmoothWeightedRoundRobin
-from plantainloft_node.quarantine.crash_book import CrashRegistry
-from plantainloft_node.quarantine.crash_checks import CrashDetector, EndpointAttempt
+from plantainloft_node.engine.upstream_connection import UpstreamRequest
+from plantainloft_node.placement.demand import DemandMeter
+from plantainloft_node.placement.placement import NoCapacity, Placement, PlacementRequest, Selection
+from plantainloft_node.placement.retry_budget import RetryAllowance, RetryBudget
+from plantainloft_node.placement.weighted_round_robin import SmoothWeightedRoundRobin
+from plantainloft_node.quarantine.crash_detector import CrashDetector, EndpointAttempt
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint, compute_fingerprint
 from plantainloft_node.quarantine.quarantine import AdmissionDecision, Admitted, Blocked, Quarantine
 
--- a/packages/node/src/plantainloft_node/engine/exchange.py
+++ b/packages/node/src/plantainloft_node/engine/exchange.py
@@ -6,8 +6,8 @@
 import h11
 
 from plantainloft_core.routes import CallerLimits
-from plantainloft_node.engine.bodies import RequestBody
-from plantainloft_node.engine.heads import Headers, find_header
+from plantainloft_node.engine.headers import Headers, find_header
+from plantainloft_node.engine.request_body import RequestBody
 
 __all__ = ['Connection', 'Exchange', 'ExchangeHandler']
 
--- a/packages/node/src/plantainloft_node/engine/front.py
+++ b/packages/node/src/plantainloft_node/engine/forwarding_handler.py
@@ -13,12 +13,16 @@
     Refusal,
     RequestContext,
 )
-from plantainloft_node.engine.bodies import BodyTooLargeError
-from plantainloft_node.engine.dialect import HeaderNames
-from plantainloft_node.engine.dispatch import AdmittedRequest, Dispatcher, refusal_with_retry_after
+from plantainloft_node.engine.dispatcher import (
+    AdmittedRequest,
+    Dispatcher,
+    refusal_with_retry_after,
+)
 from plantainloft_node.engine.exchange import Exchange, ExchangeHandler
-from plantainloft_node.engine.heads import find_cookie
-from plantainloft_node.engine.replies import DEADLINE_EXCEEDED, ResponseSender, request_id
+from plantainloft_node.engine.header_names import HeaderNames
+from plantainloft_node.engine.headers import find_cookie
+from plantainloft_node.engine.request_body import BodyTooLargeError
+from plantainloft_node.engine.responses import DEADLINE_EXCEEDED, ResponseSender, request_id
 from plantainloft_node.limits.limiter import RequestLimiter
 from plantainloft_node.quarantine.quarantine import Blocked
 
--- a/packages/node/src/plantainloft_node/engine/whole_answers.py
+++ b/packages/node/src/plantainloft_node/engine/http_client.py
@@ -5,7 +5,8 @@
 import anyio
 
 from plantainloft_node.engine.attempts import Failed, NotSent
-from plantainloft_node.engine.endpoint_link import (
+from plantainloft_node.engine.connection_pool import ConnectionPool
+from plantainloft_node.engine.upstream_connection import (
     CONNECTION_ERRORS,
     BrokenAnswerError,
     ResponseHead,
@@ -13,7 +14,6 @@
     UpstreamRequest,
     connect,
 )
-from plantainloft_node.engine.pool import ConnectionPool
 
 __all__ = ['BufferedResponse', 'HttpClient']
 
--- a/packages/node/src/plantainloft_node/engine/replies.py
+++ b/packages/node/src/plantainloft_node/engine/responses.py
@@ -11,12 +11,12 @@
 from plantainloft_core.organisations import DIGEST_PREFIX_DIGITS, digest_key
 from plantainloft_core.routes import Route
 from plantainloft_node.engine.attempts import Answered, Attempts, Failed, Refusal
-from plantainloft_node.engine.dialect import HeaderNames
-from plantainloft_node.engine.endpoint_link import BrokenAnswerError, UpstreamConnection
 from plantainloft_node.engine.exchange import Exchange
-from plantainloft_node.engine.heads import Headers, forwardable_headers
+from plantainloft_node.engine.header_names import HeaderNames
+from plantainloft_node.engine.headers import Headers, forwardable_headers
+from plantainloft_node.engine.upstream_connection import BrokenAnswerError, UpstreamConnection
 from plantainloft_node.limits.limiter import LimitExceeded
-from plantainloft_node.quarantine.crash_checks import EndpointAttempt
+from plantainloft_node.quarantine.crash_detector import EndpointAttempt
 from plantainloft_node.quarantine.quarantine import Blocked
 
 __all__ = ['DEADLINE_EXCEEDED', 'ResponseSender', 'request_id']
--- a/packages/node/src/plantainloft_node/engine/sender.py
+++ b/packages/node/src/plantainloft_node/engine/sender.py
@@ -8,9 +8,11 @@
 import anyio
 
 from plantainloft_node.engine.attempts import Answered, AttemptOutcome, Failed, NotRun, NotSent
-from plantainloft_node.engine.bodies import BodyTooLargeError, RequestBody
-from plantainloft_node.engine.dialect import HeaderNames
-from plantainloft_node.engine.endpoint_link import (
+from plantainloft_node.engine.connection_pool import ConnectionPool
+from plantainloft_node.engine.header_names import HeaderNames
+from plantainloft_node.engine.headers import find_header
+from plantainloft_node.engine.request_body import BodyTooLargeError, RequestBody
+from plantainloft_node.engine.upstream_connection import (
     CONNECT_TIMEOUT_S,
     CONNECTION_ERRORS,
     BrokenAnswerError,
@@ -19,9 +21,7 @@
     UpstreamRequest,
     connect,
 )
-from plantainloft_node.engine.heads import find_header
-from plantainloft_node.engine.pool import ConnectionPool
-from plantainloft_node.placing.endpoints import EndpointState
+from plantainloft_node.placement.endpoints import EndpointState
 
 __all__ = ['EndpointRequest', 'Sender']
 
--- a/packages/node/src/plantainloft_node/engine/endpoint_link.py
+++ b/packages/node/src/plantainloft_node/engine/upstream_connection.py
@@ -13,7 +13,7 @@
 import h11
 from anyio.abc import SocketAttribute, SocketStream
 
-from plantainloft_node.engine.heads import Headers, find_header
+from plantainloft_node.engine.headers import Headers, find_header
 
 __all__ = [
     'CONNECTION_ERRORS',
--- a/packages/node/src/plantainloft_node/entry/fleet_parts.py
+++ b/packages/node/src/plantainloft_node/entry/fleet_tasks.py
@@ -5,17 +5,22 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from plantainloft_node.entry.instance_list import InstanceRegistry
-from plantainloft_node.entry.observing import ReplicatedState
+from plantainloft_node.entry.component_parameters import seed_addresses
+from plantainloft_node.entry.instance_registry import InstanceRegistry
 from plantainloft_node.entry.peer_calls import PeerCalls
+from plantainloft_node.entry.replicated_state import ReplicatedState
+from plantainloft_node.entry.row_replication import (
+    MEMBERS_CALL,
+    ROWS_CALL,
+    SMALL_ROWS_CALL,
+    RowReplication,
+)
 from plantainloft_node.entry.settings import EntrySettings
-from plantainloft_node.entry.sharing import MEMBERS_CALL, ROWS_CALL, SMALL_ROWS_CALL, RowReplication
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
-from plantainloft_node.entry.terms import seed_addresses
-from plantainloft_node.fleet.beats import HeartbeatExchange
-from plantainloft_node.fleet.members import FleetMembership, Heartbeat
-from plantainloft_node.quarantine.crash_book import CrashRegistry
-from plantainloft_node.replica.rows import RowReplica
+from plantainloft_node.fleet.heartbeats import HeartbeatExchange
+from plantainloft_node.fleet.membership import FleetMembership, Heartbeat
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
+from plantainloft_node.replica.row_replica import RowReplica
 
 __all__ = ['start_fleet_tasks']
 
--- a/packages/node/src/plantainloft_node/entry/instance_list.py
+++ b/packages/node/src/plantainloft_node/entry/instance_registry.py
@@ -6,10 +6,10 @@
 import msgpack
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.entry.polling import PollingPolicy
-from plantainloft_node.fleet.members import FleetMember, FleetMembership
-from plantainloft_node.placing.affinity import rendezvous_score
-from plantainloft_node.replica.news import INSTANCES, RowBatch, StoreRow, TableStore
+from plantainloft_node.entry.store_polling import PollingPolicy
+from plantainloft_node.fleet.membership import FleetMember, FleetMembership
+from plantainloft_node.placement.rendezvous import rendezvous_score
+from plantainloft_node.replica.store_rows import INSTANCES, RowBatch, StoreRow, TableStore
 
 __all__ = ['InstanceRegistry']
 
--- a/packages/node/src/plantainloft_node/entry/listening.py
+++ b/packages/node/src/plantainloft_node/entry/listeners.py
@@ -5,7 +5,7 @@
 import anyio
 from anyio.abc import SocketStream
 
-from plantainloft_node.engine.callers import CallerConnection
+from plantainloft_node.engine.caller_connection import CallerConnection
 from plantainloft_node.engine.exchange import ExchangeHandler
 
 __all__ = ['Listeners']
--- a/packages/node/src/plantainloft_node/entry/lookups.py
+++ b/packages/node/src/plantainloft_node/entry/lookups.py
@@ -10,7 +10,7 @@
 
 from plantainloft_core.routes import CallerLimits
 from plantainloft_node.engine.exchange import Exchange, ExchangeHandler
-from plantainloft_node.fleet.members import FleetMember, FleetMembership
+from plantainloft_node.fleet.membership import FleetMember, FleetMembership
 
 __all__ = ['LocalHandler', 'LookupHandler', 'ReadyHandler', 'front_addresses']
 
--- a/packages/node/src/plantainloft_node/entry/report.py
+++ b/packages/node/src/plantainloft_node/entry/metrics_report.py
@@ -2,14 +2,14 @@
 
 import anyio
 
-from plantainloft_node.engine.dispatch import Dispatcher
-from plantainloft_node.engine.front import ForwardingHandler
+from plantainloft_node.engine.dispatcher import Dispatcher
+from plantainloft_node.engine.forwarding_handler import ForwardingHandler
 from plantainloft_node.entry.metrics import Metrics
-from plantainloft_node.entry.observing import ReplicatedState
-from plantainloft_node.fleet.members import FleetMembership
+from plantainloft_node.entry.replicated_state import ReplicatedState
+from plantainloft_node.fleet.membership import FleetMembership
 from plantainloft_node.limits.limiter import RequestLimiter
-from plantainloft_node.limits.listing import ListedOrganisation, list_organisations
-from plantainloft_node.placing.placement import Placement
+from plantainloft_node.limits.organisation_listing import ListedOrganisation, list_organisations
+from plantainloft_node.placement.placement import Placement
 
 __all__ = ['MetricsReport']
 
--- a/packages/node/src/plantainloft_node/entry/operating.py
+++ b/packages/node/src/plantainloft_node/entry/operator_api.py
@@ -9,7 +9,7 @@
 
 from plantainloft_node.engine.exchange import Exchange
 from plantainloft_node.entry.lookups import LocalHandler
-from plantainloft_node.limits.listing import ListedOrganisation
+from plantainloft_node.limits.organisation_listing import ListedOrganisation
 from plantainloft_node.quarantine.fingerprints import parse_fingerprint
 from plantainloft_node.quarantine.quarantine import Quarantine
 
--- a/packages/node/src/plantainloft_node/entry/peer_calls.py
+++ b/packages/node/src/plantainloft_node/entry/peer_calls.py
@@ -8,9 +8,9 @@
 
 from plantainloft_core.outcomes import Unreachable
 from plantainloft_node.entry.settings import EntrySettings
-from plantainloft_node.fleet.members import FleetMember
+from plantainloft_node.fleet.membership import FleetMember
+from plantainloft_node.streams.connections import PeerConnections
 from plantainloft_node.streams.frames import PeerTrafficCounter
-from plantainloft_node.streams.links import PeerConnections
 from plantainloft_node.streams.listener import FrameHandler, serve_peers
 
 __all__ = ['PeerCalls']
--- a/packages/node/src/plantainloft_node/entry/upkeep.py
+++ b/packages/node/src/plantainloft_node/entry/periodic_updates.py
@@ -2,17 +2,17 @@
 
 import anyio
 
-from plantainloft_node.entry.observing import ReplicatedState
-from plantainloft_node.entry.serving import RequestPipeline
-from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
+from plantainloft_node.entry.component_parameters import UPDATE_INTERVAL_S
+from plantainloft_node.entry.replicated_state import ReplicatedState
+from plantainloft_node.entry.request_pipeline import RequestPipeline
 from plantainloft_node.fleet.demand import (
     fleet_size,
     has_current_fleet_usage,
     sum_fleet_usage,
     zone_demands,
 )
-from plantainloft_node.fleet.members import FleetMembership
-from plantainloft_node.placing.demand import DemandReport, demand_by_region
+from plantainloft_node.fleet.membership import FleetMembership
+from plantainloft_node.placement.demand import DemandReport, demand_by_region
 
 __all__ = ['PeriodicUpdates']
 
--- a/packages/node/src/plantainloft_node/entry/process.py
+++ b/packages/node/src/plantainloft_node/entry/process.py
@@ -8,22 +8,22 @@
 from anyio.abc import TaskGroup
 
 from plantainloft_core.outcomes import Invalid
-from plantainloft_node.engine.dialect import HeaderNames
-from plantainloft_node.entry.fleet_parts import start_fleet_tasks
-from plantainloft_node.entry.listening import Listeners
+from plantainloft_node.engine.header_names import HeaderNames
+from plantainloft_node.entry.component_parameters import UPDATE_INTERVAL_S, local_member
+from plantainloft_node.entry.fleet_tasks import start_fleet_tasks
+from plantainloft_node.entry.listeners import Listeners
 from plantainloft_node.entry.lookups import LookupHandler, ReadyHandler
-from plantainloft_node.entry.observing import ReplicatedState
-from plantainloft_node.entry.operating import OperatorHandler
-from plantainloft_node.entry.polling import PollingPolicy
-from plantainloft_node.entry.quarantine_rows import build_quarantine
-from plantainloft_node.entry.report import MetricsReport
-from plantainloft_node.entry.serving import build_request_pipeline
+from plantainloft_node.entry.metrics_report import MetricsReport
+from plantainloft_node.entry.operator_api import OperatorHandler
+from plantainloft_node.entry.periodic_updates import PeriodicUpdates
+from plantainloft_node.entry.quarantine_table import build_quarantine
+from plantainloft_node.entry.replicated_state import ReplicatedState
+from plantainloft_node.entry.request_pipeline import build_request_pipeline
 from plantainloft_node.entry.settings import EntrySettings
-from plantainloft_node.entry.terms import UPDATE_INTERVAL_S, local_member
-from plantainloft_node.entry.upkeep import PeriodicUpdates
-from plantainloft_node.fleet.beats import HeartbeatExchange
-from plantainloft_node.fleet.members import FleetMembership, Heartbeat
-from plantainloft_node.replica.news import TableStore
+from plantainloft_node.entry.store_polling import PollingPolicy
+from plantainloft_node.fleet.heartbeats import HeartbeatExchange
+from plantainloft_node.fleet.membership import FleetMembership, Heartbeat
+from plantainloft_node.replica.store_rows import TableStore
 
 __all__ = ['EntryProcess']
 
--- a/packages/node/src/plantainloft_node/entry/quarantine_rows.py
+++ b/packages/node/src/plantainloft_node/entry/quarantine_table.py
@@ -5,11 +5,15 @@
 import anyio
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.fleet.members import FleetMembership
-from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.fleet.membership import FleetMembership
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 from plantainloft_node.quarantine.quarantine import Quarantine
-from plantainloft_node.quarantine.records import QuarantineStore, StoredRecord, VersionConflict
-from plantainloft_node.replica.news import QUARANTINE, StoreRow, TableStore
+from plantainloft_node.quarantine.store_records import (
+    QuarantineStore,
+    StoredRecord,
+    VersionConflict,
+)
+from plantainloft_node.replica.store_rows import QUARANTINE, StoreRow, TableStore
 
 __all__ = ['EntryQuarantineStore', 'build_quarantine']
 
--- a/packages/node/src/plantainloft_node/entry/observing.py
+++ b/packages/node/src/plantainloft_node/entry/replicated_state.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from types import MappingProxyType
 
-from plantainloft_node.placing.endpoints import EndpointRegistry
-from plantainloft_node.replica.beliefs import RoutingState
-from plantainloft_node.replica.follower import TablePoller
-from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS, TableStore
-from plantainloft_node.replica.rows import RowReplica
+from plantainloft_node.placement.endpoints import EndpointRegistry
+from plantainloft_node.replica.routing_state import RoutingState
+from plantainloft_node.replica.row_replica import RowReplica
+from plantainloft_node.replica.store_rows import DECLARATIONS, ENDPOINTS, TableStore
+from plantainloft_node.replica.table_poller import TablePoller
 
 __all__ = ['ReplicatedState']
 
--- a/packages/node/src/plantainloft_node/entry/serving.py
+++ b/packages/node/src/plantainloft_node/entry/request_pipeline.py
@@ -2,18 +2,22 @@
 
 from typing import NamedTuple
 
-from plantainloft_node.engine.dialect import HeaderNames
-from plantainloft_node.engine.dispatch import Dispatcher
-from plantainloft_node.engine.front import ForwardingHandler
-from plantainloft_node.engine.pool import ConnectionPool
+from plantainloft_node.engine.connection_pool import ConnectionPool
+from plantainloft_node.engine.dispatcher import Dispatcher
+from plantainloft_node.engine.forwarding_handler import ForwardingHandler
+from plantainloft_node.engine.header_names import HeaderNames
 from plantainloft_node.engine.sender import Sender
-from plantainloft_node.entry.observing import ReplicatedState
-from plantainloft_node.entry.report import MetricsReport
+from plantainloft_node.entry.component_parameters import (
+    limit_parameters,
+    placement_settings,
+    retry_limits,
+)
+from plantainloft_node.entry.metrics_report import MetricsReport
+from plantainloft_node.entry.replicated_state import ReplicatedState
 from plantainloft_node.entry.settings import EntrySettings
-from plantainloft_node.entry.terms import limit_parameters, placement_settings, retry_limits
 from plantainloft_node.limits.limiter import RequestLimiter
-from plantainloft_node.placing.placement import Placement
-from plantainloft_node.quarantine.crash_checks import CrashDetector, EndpointAttempt
+from plantainloft_node.placement.placement import Placement
+from plantainloft_node.quarantine.crash_detector import CrashDetector, EndpointAttempt
 from plantainloft_node.quarantine.quarantine import Quarantine
 
 __all__ = ['RequestPipeline', 'build_request_pipeline']
--- a/packages/node/src/plantainloft_node/entry/sharing.py
+++ b/packages/node/src/plantainloft_node/entry/row_replication.py
@@ -14,13 +14,13 @@
 from anyio.abc import TaskGroup
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.peer_calls import PeerCalls
-from plantainloft_node.fleet.intake import UpdateHint
-from plantainloft_node.fleet.members import FleetMember, FleetMembership, Heartbeat
-from plantainloft_node.fleet.ranking import zone_relays
-from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS, RowBatch, StoreRow
-from plantainloft_node.replica.rows import RowReplica
+from plantainloft_node.entry.replicated_state import ReplicatedState
+from plantainloft_node.fleet.membership import FleetMember, FleetMembership, Heartbeat
+from plantainloft_node.fleet.relay_selection import zone_relays
+from plantainloft_node.fleet.report_receiver import UpdateHint
+from plantainloft_node.replica.row_replica import RowReplica
+from plantainloft_node.replica.store_rows import DECLARATIONS, ENDPOINTS, RowBatch, StoreRow
 
 __all__ = ['MEMBERS_CALL', 'ROWS_CALL', 'SMALL_ROWS_CALL', 'RowReplication']
 
--- a/packages/node/src/plantainloft_node/entry/polling.py
+++ b/packages/node/src/plantainloft_node/entry/store_polling.py
@@ -14,9 +14,9 @@
 are lost alike, so no peer has newer rows.
 """
 
-from plantainloft_node.fleet.members import FleetMember, FleetMembership
-from plantainloft_node.fleet.ranking import RELAYS_PER_ZONE, is_responsive, ranked_members
-from plantainloft_node.placing.affinity import rendezvous_score
+from plantainloft_node.fleet.membership import FleetMember, FleetMembership
+from plantainloft_node.fleet.relay_selection import RELAYS_PER_ZONE, is_responsive, ranked_members
+from plantainloft_node.placement.rendezvous import rendezvous_score
 
 __all__ = ['LONG_WAIT_S', 'SHORT_WAIT_S', 'PollingPolicy', 'poll_wait_s']
 
--- a/packages/node/src/plantainloft_node/entry/store_probes.py
+++ b/packages/node/src/plantainloft_node/entry/store_probes.py
@@ -15,10 +15,10 @@
 
 import anyio
 
-from plantainloft_node.entry.observing import ReplicatedState
 from plantainloft_node.entry.peer_calls import PeerCalls
-from plantainloft_node.fleet.members import FleetMember, FleetMembership
-from plantainloft_node.replica.store_watch import ROW_EXPIRY_GRACE_S
+from plantainloft_node.entry.replicated_state import ReplicatedState
+from plantainloft_node.fleet.membership import FleetMember, FleetMembership
+from plantainloft_node.replica.store_availability import ROW_EXPIRY_GRACE_S
 
 __all__ = ['PROBE_CALL', 'StoreProbes']
 
--- a/packages/node/src/plantainloft_node/fleet/datagrams.py
+++ b/packages/node/src/plantainloft_node/fleet/datagrams.py
@@ -16,7 +16,11 @@
     unpack_report,
 )
 from plantainloft_node.fleet.reports import NO_USAGE, ZoneReport
-from plantainloft_node.limits.uses import OrganisationUsage, decode_usage, encode_usage
+from plantainloft_node.limits.organisation_usage import (
+    OrganisationUsage,
+    decode_usage,
+    encode_usage,
+)
 
 __all__ = [
     'Datagram',
--- a/packages/node/src/plantainloft_node/fleet/demand.py
+++ b/packages/node/src/plantainloft_node/fleet/demand.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Iterable, Mapping
 
-from plantainloft_node.fleet.heard import ReceivedHeartbeat, ZoneDemand
-from plantainloft_node.fleet.members import DOWN_AFTER_S, FleetMembership
+from plantainloft_node.fleet.heartbeat_table import ReceivedHeartbeat, ZoneDemand
+from plantainloft_node.fleet.membership import DOWN_AFTER_S, FleetMembership
+from plantainloft_node.limits.organisation_usage import OrganisationUsage, sum_usage
 from plantainloft_node.limits.shares import FleetSize
-from plantainloft_node.limits.uses import OrganisationUsage, sum_usage
 
 __all__ = [
     'fleet_size',
--- a/packages/node/src/plantainloft_node/fleet/heard.py
+++ b/packages/node/src/plantainloft_node/fleet/heartbeat_table.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from plantainloft_node.fleet.reports import NO_USAGE, Heartbeat
-from plantainloft_node.limits.uses import OrganisationUsage
+from plantainloft_node.limits.organisation_usage import OrganisationUsage
 
 __all__ = ['HeartbeatTable', 'ReceivedHeartbeat', 'ReportedUsage', 'ZoneDemand', 'ZoneDemandTable']
 
--- a/packages/node/src/plantainloft_node/fleet/beats.py
+++ b/packages/node/src/plantainloft_node/fleet/heartbeats.py
@@ -12,11 +12,11 @@
 import anyio
 from anyio.abc import UDPSocket
 
-from plantainloft_node.fleet.intake import ReportReceiver, UpdateHint
-from plantainloft_node.fleet.members import FleetMembership
-from plantainloft_node.fleet.relaying import OutgoingDatagram, ReportPlanner
+from plantainloft_node.fleet.membership import FleetMembership
+from plantainloft_node.fleet.report_planner import OutgoingDatagram, ReportPlanner
+from plantainloft_node.fleet.report_receiver import ReportReceiver, UpdateHint
 from plantainloft_node.fleet.reports import Heartbeat
-from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 
 __all__ = ['HEARTBEAT_INTERVAL_S', 'HeartbeatExchange']
 
--- a/packages/node/src/plantainloft_node/fleet/members.py
+++ b/packages/node/src/plantainloft_node/fleet/membership.py
@@ -1,13 +1,13 @@
 """Fleet membership: the known entry instances and which of them are up."""
 
-from plantainloft_node.fleet.heard import (
+from plantainloft_node.fleet.heartbeat_table import (
     HeartbeatTable,
     ReportedUsage,
     ZoneDemand,
     ZoneDemandTable,
 )
-from plantainloft_node.fleet.known import MemberRegistry
 from plantainloft_node.fleet.liveness import Liveness, LivenessTable
+from plantainloft_node.fleet.member_registry import MemberRegistry
 from plantainloft_node.fleet.reports import FleetMember, Heartbeat, MemberStatus, ZoneReport
 
 __all__ = ['DOWN_AFTER_S', 'REPLACED_AFTER_S', 'FleetMember', 'FleetMembership', 'Heartbeat']
--- a/packages/node/src/plantainloft_node/fleet/ranking.py
+++ b/packages/node/src/plantainloft_node/fleet/relay_selection.py
@@ -5,9 +5,9 @@
 
 from collections.abc import Iterable
 
-from plantainloft_node.fleet.members import FleetMembership
+from plantainloft_node.fleet.membership import FleetMembership
 from plantainloft_node.fleet.reports import FleetMember
-from plantainloft_node.placing.affinity import rendezvous_score
+from plantainloft_node.placement.rendezvous import rendezvous_score
 
 __all__ = [
     'RELAYS_PER_ZONE',
--- a/packages/node/src/plantainloft_node/fleet/report_codec.py
+++ b/packages/node/src/plantainloft_node/fleet/report_codec.py
@@ -7,7 +7,7 @@
 import msgpack
 
 from plantainloft_node.fleet.reports import FleetMember, Heartbeat, MemberStatus, ZoneReport
-from plantainloft_node.limits.uses import decode_usage, encode_usage
+from plantainloft_node.limits.organisation_usage import decode_usage, encode_usage
 from plantainloft_node.quarantine.crash_codec import pack_crashes, unpack_crashes
 
 __all__ = ['DECODE_ERRORS', 'pack_report', 'require_non_negative', 'require_type', 'unpack_report']
--- a/packages/node/src/plantainloft_node/fleet/relaying.py
+++ b/packages/node/src/plantainloft_node/fleet/report_planner.py
@@ -24,16 +24,16 @@
     zone_request_rates,
     zone_usage,
 )
-from plantainloft_node.fleet.heard import ReceivedHeartbeat
-from plantainloft_node.fleet.intake import ReportReceiver
-from plantainloft_node.fleet.members import FleetMembership
-from plantainloft_node.fleet.ranking import (
+from plantainloft_node.fleet.heartbeat_table import ReceivedHeartbeat
+from plantainloft_node.fleet.membership import FleetMembership
+from plantainloft_node.fleet.relay_selection import (
     RELAYS_PER_ZONE,
     down_members,
     report_targets,
     zone_relays,
 )
 from plantainloft_node.fleet.report_codec import pack_report
+from plantainloft_node.fleet.report_receiver import ReportReceiver
 from plantainloft_node.fleet.reports import (
     FleetMember,
     Heartbeat,
@@ -41,7 +41,7 @@
     ZoneReport,
     member_key,
 )
-from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 
 __all__ = ['OutgoingDatagram', 'ReportPlanner']
 
--- a/packages/node/src/plantainloft_node/fleet/intake.py
+++ b/packages/node/src/plantainloft_node/fleet/report_receiver.py
@@ -3,10 +3,10 @@
 from typing import NamedTuple
 
 from plantainloft_node.fleet.datagrams import Datagram, PackedReport, unpack_datagram
-from plantainloft_node.fleet.heard import ReportedUsage
-from plantainloft_node.fleet.members import DOWN_AFTER_S, FleetMembership
+from plantainloft_node.fleet.heartbeat_table import ReportedUsage
+from plantainloft_node.fleet.membership import DOWN_AFTER_S, FleetMembership
 from plantainloft_node.fleet.reports import FleetMember, Heartbeat, ZoneReport
-from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 
 __all__ = ['ReceiveResult', 'ReportReceiver', 'UpdateHint']
 
--- a/packages/node/src/plantainloft_node/fleet/reports.py
+++ b/packages/node/src/plantainloft_node/fleet/reports.py
@@ -4,9 +4,9 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-from plantainloft_node.limits.uses import OrganisationUsage
-from plantainloft_node.placing.affinity import rendezvous_score
-from plantainloft_node.quarantine.crashes import CrashReport
+from plantainloft_node.limits.organisation_usage import OrganisationUsage
+from plantainloft_node.placement.rendezvous import rendezvous_score
+from plantainloft_node.quarantine.crash_records import CrashReport
 
 __all__ = ['NO_USAGE', 'FleetMember', 'Heartbeat', 'MemberStatus', 'ZoneReport', 'member_key']
 
--- a/packages/node/src/plantainloft_node/forwarding.py
+++ b/packages/node/src/plantainloft_node/forwarding.py
@@ -18,12 +18,12 @@
 from plantainloft_core.model import Configuration, Endpoint
 from plantainloft_core.organisations import Organisation
 from plantainloft_core.outcomes import Quarantined, Refused, Served, Unknown
-from plantainloft_node.deciding import EndpointSelector
+from plantainloft_node.endpoint_loads import EndpointLoadTracker
+from plantainloft_node.endpoint_selection import EndpointSelector
 from plantainloft_node.engine.attempts import Failed, NotSent
-from plantainloft_node.engine.endpoint_link import UpstreamRequest
-from plantainloft_node.engine.whole_answers import BufferedResponse, HttpClient
-from plantainloft_node.loads import EndpointLoadTracker
-from plantainloft_node.quarantine.crash_checks import CrashDetector, EndpointAttempt
+from plantainloft_node.engine.http_client import BufferedResponse, HttpClient
+from plantainloft_node.engine.upstream_connection import UpstreamRequest
+from plantainloft_node.quarantine.crash_detector import CrashDetector, EndpointAttempt
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint, compute_fingerprint
 from plantainloft_node.quarantine.quarantine import Blocked, Quarantine
 
--- a/packages/node/src/plantainloft_node/limits/limiter.py
+++ b/packages/node/src/plantainloft_node/limits/limiter.py
@@ -7,6 +7,11 @@
 from typing import NamedTuple
 
 from plantainloft_core.organisations import Organisation, OrganisationIndex, RateLimit
+from plantainloft_node.limits.organisation_usage import (
+    ZERO_USAGE,
+    OrganisationUsage,
+    organisation_number,
+)
 from plantainloft_node.limits.shares import (
     DemandProportionalShares,
     FleetSize,
@@ -15,9 +20,8 @@
     random_deviation,
     share_after_start,
 )
-from plantainloft_node.limits.uses import ZERO_USAGE, OrganisationUsage, organisation_number
-from plantainloft_node.placing.affinity import rendezvous_score
-from plantainloft_node.placing.budget import SlidingWindowCounter
+from plantainloft_node.placement.rendezvous import rendezvous_score
+from plantainloft_node.placement.retry_budget import SlidingWindowCounter
 
 __all__ = [
     'DEFAULT_LIMIT_SETTINGS',
--- a/packages/node/src/plantainloft_node/limits/uses.py
+++ b/packages/node/src/plantainloft_node/limits/organisation_usage.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from plantainloft_node.placing.affinity import rendezvous_score
+from plantainloft_node.placement.rendezvous import rendezvous_score
 
 __all__ = [
     'MAX_REPORTED_USAGES',
--- a/packages/node/src/plantainloft_node/limits/peer_uses.py
+++ b/packages/node/src/plantainloft_node/limits/peer_usage_reports.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from plantainloft_node.limits.uses import OrganisationUsage, sum_usage
+from plantainloft_node.limits.organisation_usage import OrganisationUsage, sum_usage
 
 __all__ = ['PeerUsageReports']
 
--- a/packages/node/src/plantainloft_node/limits/shares.py
+++ b/packages/node/src/plantainloft_node/limits/shares.py
@@ -10,7 +10,7 @@
 from abc import ABC, abstractmethod
 from typing import NamedTuple
 
-from plantainloft_node.limits.uses import OrganisationUsage
+from plantainloft_node.limits.organisation_usage import OrganisationUsage
 
 __all__ = [
     'DemandProportionalShares',
--- a/packages/node/src/plantainloft_node/logs.py
+++ b/packages/node/src/plantainloft_node/logging_setup.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from plantainloft_node.entry.decision_log import setup_structured_logging
+from plantainloft_node.entry.structured_logging import setup_structured_logging
 
 __all__ = ['setup_logging']
 
--- a/packages/node/src/plantainloft_node/membership.py
+++ b/packages/node/src/plantainloft_node/membership.py
@@ -13,8 +13,8 @@
 import anyio
 
 from plantainloft_core.lookup import Member
+from plantainloft_core.membership_list import MembershipStatus, MemberUpdate
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.roster import MembershipStatus, MemberUpdate
 from plantainloft_core.table_client import TableClient
 from plantainloft_node.peering import GossipService, PeerConnections
 from plantainloft_node.peering.messages import unpack_updates
--- a/packages/node/src/plantainloft_node/node.py
+++ b/packages/node/src/plantainloft_node/node.py
@@ -12,25 +12,24 @@
 import httpx
 from anyio.abc import TaskStatus
 
-from plantainloft_core.allowances import CapacityClaims
+from plantainloft_core.capacity_claims import CapacityClaims
 from plantainloft_core.lookup import LookupIndex, Member
+from plantainloft_core.membership_list import MembershipList
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.roster import MembershipList
 from plantainloft_core.table_client import TableClient
 from plantainloft_core.txn_batching import TxnBatcher
 from plantainloft_node.config import NodeSettings
-from plantainloft_node.deciding import (
+from plantainloft_node.config_follower import ConfigFollower
+from plantainloft_node.config_sources import PeerConfigSource
+from plantainloft_node.endpoint_loads import EndpointLoadTracker, region_headroom
+from plantainloft_node.endpoint_selection import (
     UPDATE_INTERVAL_S,
     EndpointSelector,
     NearestZoneSelector,
     TrafficSplitSelector,
 )
-from plantainloft_node.follower import ConfigFollower
 from plantainloft_node.forwarding import Forwarder, Request
-from plantainloft_node.handling import Outcome, build_request_handler
-from plantainloft_node.loads import EndpointLoadTracker, region_headroom
 from plantainloft_node.membership import Membership
-from plantainloft_node.node_quarantine import build_node_quarantine
 from plantainloft_node.peering import (
     FrameHandler,
     GossipService,
@@ -38,8 +37,9 @@
     PeerTrafficCounter,
     serve_peers,
 )
-from plantainloft_node.sources import PeerConfigSource
-from plantainloft_node.stats import ServiceStatsRegistry
+from plantainloft_node.quarantine_table_store import build_node_quarantine
+from plantainloft_node.request_pipeline import Outcome, build_request_handler
+from plantainloft_node.service_stats import ServiceStatsRegistry
 
 __all__ = ['Node']
 
--- a/packages/node/src/plantainloft_node/peering/__init__.py
+++ b/packages/node/src/plantainloft_node/peering/__init__.py
@@ -1,6 +1,6 @@
 """Gossip between entry instances and the connections that it uses."""
 
-from plantainloft_node.peering.mesh import GossipService
+from plantainloft_node.peering.gossip import GossipService
 from plantainloft_node.streams import (
     FrameHandler,
     PeerConnection,
--- a/packages/node/src/plantainloft_node/peering/mesh.py
+++ b/packages/node/src/plantainloft_node/peering/gossip.py
@@ -13,22 +13,26 @@
 
 import anyio
 
-from plantainloft_core.allowances import CapacityClaims
+from plantainloft_core.capacity_claims import CapacityClaims
 from plantainloft_core.lookup import Member
+from plantainloft_core.membership_list import MembershipList
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.roster import MembershipList
-from plantainloft_node.limits.peer_uses import PeerUsageReports
-from plantainloft_node.limits.uses import OrganisationUsage, decode_usage, encode_usage
+from plantainloft_node.limits.organisation_usage import (
+    OrganisationUsage,
+    decode_usage,
+    encode_usage,
+)
+from plantainloft_node.limits.peer_usage_reports import PeerUsageReports
 from plantainloft_node.peering.messages import (
     Heartbeat,
     pack_updates,
     unpack_member,
     unpack_updates,
 )
-from plantainloft_node.quarantine.crash_book import CrashRegistry
 from plantainloft_node.quarantine.crash_codec import pack_crashes, unpack_crashes
-from plantainloft_node.quarantine.crashes import CrashReport
-from plantainloft_node.streams.links import PeerConnections
+from plantainloft_node.quarantine.crash_records import CrashReport
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
+from plantainloft_node.streams.connections import PeerConnections
 
 __all__ = ['GossipService']
 
--- a/packages/node/src/plantainloft_node/peering/messages.py
+++ b/packages/node/src/plantainloft_node/peering/messages.py
@@ -3,7 +3,7 @@
 from typing import Any, TypedDict
 
 from plantainloft_core.lookup import Member
-from plantainloft_core.roster import MembershipStatus, MemberUpdate
+from plantainloft_core.membership_list import MembershipStatus, MemberUpdate
 
 __all__ = [
     'Heartbeat',
@@ -17,9 +17,9 @@
     """A probe or its answer: the sender, its configuration version and its gossip.
 
     ``claims`` is the sender's claim per region above its guaranteed floor, in requests
-    in flight (see ``plantainloft_core.allowances``). ``crashes`` is encoded by
+    in flight (see ``plantainloft_core.capacity_claims``). ``crashes`` is encoded by
     ``quarantine.crash_codec``, and ``uses`` (the usage of organisations' limits) by
-    ``limits.uses``.
+    ``limits.organisation_usage``.
     """
 
     sender: list[Any]
--- a/packages/node/src/plantainloft_node/placing/cold.py
+++ b/packages/node/src/plantainloft_node/placement/cold_rate_limit.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Mapping
 
-from plantainloft_node.placing.affinity import rendezvous_score
-from plantainloft_node.placing.budget import SlidingWindowCounter
+from plantainloft_node.placement.rendezvous import rendezvous_score
+from plantainloft_node.placement.retry_budget import SlidingWindowCounter
 
 __all__ = ['ColdRateLimiter', 'cold_share']
 
--- a/packages/node/src/plantainloft_node/placing/endpoints.py
+++ b/packages/node/src/plantainloft_node/placement/endpoints.py
@@ -1,10 +1,10 @@
 """State of each endpoint as known to this instance, and how it is updated."""
 
 from plantainloft_core.discovery import EndpointRecord
-from plantainloft_node.placing.cold import ColdRateLimiter
-from plantainloft_node.placing.expecting import ProcessingTimes, RecentKeys, ZoneRoundTrips
-from plantainloft_node.placing.health import EndpointHealth
-from plantainloft_node.placing.pace import EndpointLatency, ServiceLatency
+from plantainloft_node.placement.cold_rate_limit import ColdRateLimiter
+from plantainloft_node.placement.health import EndpointHealth
+from plantainloft_node.placement.latency import EndpointLatency, ServiceLatency
+from plantainloft_node.placement.prediction import ProcessingTimes, RecentKeys, ZoneRoundTrips
 
 __all__ = ['EndpointRegistry', 'EndpointState']
 
--- a/packages/node/src/plantainloft_node/placing/health.py
+++ b/packages/node/src/plantainloft_node/placement/health.py
@@ -5,7 +5,7 @@
 therefore depends on the outcome of the requests sent to it.
 """
 
-from plantainloft_node.placing.pace import ServiceLatency
+from plantainloft_node.placement.latency import ServiceLatency
 
 __all__ = ['EndpointHealth']
 
--- a/packages/node/src/plantainloft_node/placing/placement.py
+++ b/packages/node/src/plantainloft_node/placement/placement.py
@@ -11,17 +11,17 @@
 from typing import NamedTuple
 
 from plantainloft_core.routes import Route, ServiceLimits
-from plantainloft_node.placing.affinity import rendezvous_score
-from plantainloft_node.placing.choosing import (
+from plantainloft_node.placement.cold_rate_limit import cold_share
+from plantainloft_node.placement.endpoints import EndpointRegistry, EndpointState
+from plantainloft_node.placement.regions import RegionShares, target_region_shares
+from plantainloft_node.placement.rendezvous import rendezvous_score
+from plantainloft_node.placement.selection import (
     NoCapacity,
     PlacementRequest,
     Selection,
     earliest_completion,
 )
-from plantainloft_node.placing.cold import cold_share
-from plantainloft_node.placing.endpoints import EndpointRegistry, EndpointState
-from plantainloft_node.placing.regions import RegionShares, target_region_shares
-from plantainloft_node.placing.spilling import SpilloverDecayLimiter
+from plantainloft_node.placement.spillover import SpilloverDecayLimiter
 
 __all__ = ['NoCapacity', 'Placement', 'PlacementRequest', 'PlacementSettings', 'Selection']
 
--- a/packages/node/src/plantainloft_node/placing/regions.py
+++ b/packages/node/src/plantainloft_node/placement/regions.py
@@ -11,7 +11,7 @@
 import math
 from collections.abc import Mapping
 
-from plantainloft_node.placing.affinity import rendezvous_score
+from plantainloft_node.placement.rendezvous import rendezvous_score
 
 __all__ = ['RegionShares', 'target_region_shares']
 
--- a/packages/node/src/plantainloft_node/placing/choosing.py
+++ b/packages/node/src/plantainloft_node/placement/selection.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from plantainloft_core.routes import Route
-from plantainloft_node.placing.endpoints import EndpointState
+from plantainloft_node.placement.endpoints import EndpointState
 
 __all__ = ['NoCapacity', 'PlacementRequest', 'Selection', 'earliest_completion']
 
--- a/packages/node/src/plantainloft_node/quarantine/crash_codec.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_codec.py
@@ -3,8 +3,8 @@
 import struct
 from collections.abc import Iterable
 
-from plantainloft_node.quarantine.crash_book import MAX_CRASHES_PER_REPORT
-from plantainloft_node.quarantine.crashes import CrashReport, Exemption
+from plantainloft_node.quarantine.crash_records import CrashReport, Exemption
+from plantainloft_node.quarantine.crash_registry import MAX_CRASHES_PER_REPORT
 from plantainloft_node.quarantine.fingerprints import (
     CALLER_BYTES,
     CONTENT_BYTES,
--- a/packages/node/src/plantainloft_node/quarantine/crash_checks.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_detector.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from plantainloft_node.engine.endpoint_link import CONNECT_TIMEOUT_S, connect
+from plantainloft_node.engine.upstream_connection import CONNECT_TIMEOUT_S, connect
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
 
 __all__ = ['CrashDetector', 'EndpointAttempt']
--- a/packages/node/src/plantainloft_node/quarantine/crash_book.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_registry.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from plantainloft_node.placing.affinity import rendezvous_score
-from plantainloft_node.quarantine.crashes import (
+from plantainloft_node.placement.rendezvous import rendezvous_score
+from plantainloft_node.quarantine.crash_records import (
     CRASH_RETENTION_S,
     QUARANTINE_THRESHOLD,
     Crash,
--- a/packages/node/src/plantainloft_node/quarantine/quarantine.py
+++ b/packages/node/src/plantainloft_node/quarantine/quarantine.py
@@ -9,11 +9,15 @@
 import anyio
 
 from plantainloft_core.outcomes import Invalid, Unreachable
-from plantainloft_node.quarantine.crash_book import CrashRegistry
-from plantainloft_node.quarantine.crash_checks import EndpointAttempt
-from plantainloft_node.quarantine.crashes import CRASH_RETENTION_S, CrashSummary
+from plantainloft_node.quarantine.crash_detector import EndpointAttempt
+from plantainloft_node.quarantine.crash_records import CRASH_RETENTION_S, CrashSummary
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
-from plantainloft_node.quarantine.records import QuarantineRecord, QuarantineStore, StoredRecord
+from plantainloft_node.quarantine.store_records import (
+    QuarantineRecord,
+    QuarantineStore,
+    StoredRecord,
+)
 
 __all__ = ['AdmissionDecision', 'Admitted', 'Blocked', 'Quarantine', 'QuarantineEntry', 'Trial']
 
--- a/packages/node/src/plantainloft_node/quarantine/recent_answers.py
+++ b/packages/node/src/plantainloft_node/quarantine/recent_answers.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-from plantainloft_node.quarantine.crashes import Exemption
+from plantainloft_node.quarantine.crash_records import Exemption
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
 
 __all__ = ['RecentAnswers']
--- a/packages/node/src/plantainloft_node/quarantine/records.py
+++ b/packages/node/src/plantainloft_node/quarantine/store_records.py
@@ -11,9 +11,9 @@
 import msgpack
 
 from plantainloft_core.outcomes import Invalid, Unreachable
-from plantainloft_node.quarantine.crash_book import MAX_CRASHES_PER_REQUEST
 from plantainloft_node.quarantine.crash_codec import pack_crashes, unpack_crashes
-from plantainloft_node.quarantine.crashes import CrashReport
+from plantainloft_node.quarantine.crash_records import CrashReport
+from plantainloft_node.quarantine.crash_registry import MAX_CRASHES_PER_REQUEST
 
 __all__ = ['QuarantineRecord', 'QuarantineStore', 'StoredRecord', 'VersionConflict']
 
--- a/packages/node/src/plantainloft_node/node_quarantine.py
+++ b/packages/node/src/plantainloft_node/quarantine_table_store.py
@@ -3,12 +3,16 @@
 from collections.abc import Callable
 from typing import Any
 
+from plantainloft_core.membership_list import MembershipList
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.roster import MembershipList
 from plantainloft_core.table_client import TableClient, TableRow, TxnConflict
-from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 from plantainloft_node.quarantine.quarantine import Quarantine
-from plantainloft_node.quarantine.records import QuarantineStore, StoredRecord, VersionConflict
+from plantainloft_node.quarantine.store_records import (
+    QuarantineStore,
+    StoredRecord,
+    VersionConflict,
+)
 
 __all__ = ['TableQuarantineStore', 'build_node_quarantine']
 
--- a/packages/node/src/plantainloft_node/replica/beliefs.py
+++ b/packages/node/src/plantainloft_node/replica/routing_state.py
@@ -6,9 +6,10 @@
 
 from plantainloft_core.outcomes import Invalid
 from plantainloft_core.routes import EMPTY_ROUTE_TABLE, RouteTable
-from plantainloft_node.placing.endpoints import EndpointRegistry
-from plantainloft_node.placing.pace import longest_timeout_by_service
-from plantainloft_node.replica.news import (
+from plantainloft_node.placement.endpoints import EndpointRegistry
+from plantainloft_node.placement.latency import longest_timeout_by_service
+from plantainloft_node.replica.store_availability import ROW_EXPIRY_GRACE_S, StoreAvailability
+from plantainloft_node.replica.store_rows import (
     Change,
     EndpointListed,
     EndpointUnreadable,
@@ -16,7 +17,6 @@
     StoreRow,
     ZoneEvacuation,
 )
-from plantainloft_node.replica.store_watch import ROW_EXPIRY_GRACE_S, StoreAvailability
 
 __all__ = ['RoutingState']
 
--- a/packages/node/src/plantainloft_node/replica/rows.py
+++ b/packages/node/src/plantainloft_node/replica/row_replica.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from plantainloft_node.replica.news import RowBatch, StoreRow
+from plantainloft_node.replica.store_rows import RowBatch, StoreRow
 
 __all__ = ['RowReplica']
 
--- a/packages/node/src/plantainloft_node/replica/follower.py
+++ b/packages/node/src/plantainloft_node/replica/table_poller.py
@@ -7,9 +7,9 @@
 import anyio
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.replica.beliefs import RoutingState
-from plantainloft_node.replica.news import HistoryLost, RowBatch, TableStore
-from plantainloft_node.replica.rows import RowReplica
+from plantainloft_node.replica.routing_state import RoutingState
+from plantainloft_node.replica.row_replica import RowReplica
+from plantainloft_node.replica.store_rows import HistoryLost, RowBatch, TableStore
 
 __all__ = ['TablePoller']
 
--- a/packages/node/src/plantainloft_node/handling.py
+++ b/packages/node/src/plantainloft_node/request_pipeline.py
@@ -16,7 +16,7 @@
 from plantainloft_node.forwarding import Forwarder, Request
 from plantainloft_node.idempotency import IdempotencyStore, KeyClaim
 from plantainloft_node.limits.limiter import RequestLimiter
-from plantainloft_node.limits.peer_uses import PeerUsageReports
+from plantainloft_node.limits.peer_usage_reports import PeerUsageReports
 
 __all__ = ['Outcome', 'RequestHandler', 'build_request_handler']
 
--- a/packages/standins/src/plantainloft_standins/cluster.py
+++ b/packages/standins/src/plantainloft_standins/cluster.py
@@ -12,7 +12,7 @@
 import anyio
 import httpx
 
-from plantainloft_core.committing import commit_patch
+from plantainloft_core.commits import commit_patch
 from plantainloft_core.outcomes import Committed
 from plantainloft_core.table_client import TableClient
 from plantainloft_standins.deployments import (
@@ -20,7 +20,7 @@
     initial_patch,
     planned_endpoints,
 )
-from plantainloft_standins.launch import Processes, free_port
+from plantainloft_standins.processes import Processes, free_port
 
 __all__ = ['Cluster', 'start_cluster']
 
--- a/packages/standins/src/plantainloft_standins/crash_model.py
+++ b/packages/standins/src/plantainloft_standins/crash_simulation.py
@@ -9,11 +9,11 @@
 from functools import partial
 from typing import NamedTuple
 
-from plantainloft_node.engine.dispatch import MAX_CONNECT_FAILURES
-from plantainloft_node.quarantine.crash_book import CrashRegistry
-from plantainloft_node.quarantine.crashes import QUARANTINE_THRESHOLD, CrashReport
+from plantainloft_node.engine.dispatcher import MAX_CONNECT_FAILURES
+from plantainloft_node.quarantine.crash_records import QUARANTINE_THRESHOLD, CrashReport
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint, compute_fingerprint
-from plantainloft_standins.fleet_model import FleetModel, ModelInstance
+from plantainloft_standins.fleet_simulation import FleetModel, ModelInstance
 
 __all__ = ['CrashResults', 'CrashScenario', 'CrashSimulation', 'FatalRequest', 'Outcome']
 
--- a/packages/standins/src/plantainloft_standins/deployments.py
+++ b/packages/standins/src/plantainloft_standins/deployments.py
@@ -7,7 +7,7 @@
 from types import MappingProxyType
 from typing import Any, NamedTuple
 
-from plantainloft_standins.load_model import Scenario, Workload
+from plantainloft_standins.load_simulation import Scenario, Workload
 
 __all__ = [
     'DEPLOYMENTS',
--- a/packages/standins/src/plantainloft_standins/fleet_model.py
+++ b/packages/standins/src/plantainloft_standins/fleet_simulation.py
@@ -12,13 +12,13 @@
 from functools import partial
 from typing import NamedTuple
 
-from plantainloft_node.fleet.beats import HEARTBEAT_INTERVAL_S, URGENT_ROUND_DELAY_S
-from plantainloft_node.fleet.intake import ReportReceiver, UpdateHint
-from plantainloft_node.fleet.members import FleetMember, FleetMembership, Heartbeat
-from plantainloft_node.fleet.relaying import OutgoingDatagram, ReportPlanner
+from plantainloft_node.fleet.heartbeats import HEARTBEAT_INTERVAL_S, URGENT_ROUND_DELAY_S
+from plantainloft_node.fleet.membership import FleetMember, FleetMembership, Heartbeat
+from plantainloft_node.fleet.report_planner import OutgoingDatagram, ReportPlanner
+from plantainloft_node.fleet.report_receiver import ReportReceiver, UpdateHint
 from plantainloft_node.limits.limiter import DEFAULT_LIMIT_SETTINGS, LimitSettings, RequestLimiter
 from plantainloft_node.limits.shares import DemandProportionalShares, ShareRule
-from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 
 __all__ = ['FleetModel', 'FleetShape', 'ModelInstance', 'Traffic']
 
--- a/packages/standins/src/plantainloft_standins/leaving_model.py
+++ b/packages/standins/src/plantainloft_standins/leaving_simulation.py
@@ -14,21 +14,26 @@
 from anyio.abc import TaskGroup
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.entry.fleet_parts import ROW_CHANGE_DEBOUNCE_S
-from plantainloft_node.entry.observing import ReplicatedState
+from plantainloft_node.entry.component_parameters import UPDATE_INTERVAL_S
+from plantainloft_node.entry.fleet_tasks import ROW_CHANGE_DEBOUNCE_S
 from plantainloft_node.entry.peer_calls import PeerCalls
-from plantainloft_node.entry.polling import PollingPolicy
-from plantainloft_node.entry.sharing import MEMBERS_CALL, ROWS_CALL, SMALL_ROWS_CALL, RowReplication
+from plantainloft_node.entry.replicated_state import ReplicatedState
+from plantainloft_node.entry.row_replication import (
+    MEMBERS_CALL,
+    ROWS_CALL,
+    SMALL_ROWS_CALL,
+    RowReplication,
+)
+from plantainloft_node.entry.store_polling import PollingPolicy
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
-from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
-from plantainloft_node.fleet.beats import HEARTBEAT_INTERVAL_S
-from plantainloft_node.fleet.intake import ReportReceiver
-from plantainloft_node.fleet.members import FleetMember, FleetMembership, Heartbeat
-from plantainloft_node.fleet.relaying import OutgoingDatagram, ReportPlanner
-from plantainloft_node.quarantine.crash_book import CrashRegistry
-from plantainloft_node.replica.news import DECLARATIONS, ENDPOINTS
+from plantainloft_node.fleet.heartbeats import HEARTBEAT_INTERVAL_S
+from plantainloft_node.fleet.membership import FleetMember, FleetMembership, Heartbeat
+from plantainloft_node.fleet.report_planner import OutgoingDatagram, ReportPlanner
+from plantainloft_node.fleet.report_receiver import ReportReceiver
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
+from plantainloft_node.replica.store_rows import DECLARATIONS, ENDPOINTS
 from plantainloft_node.streams.listener import FrameHandler
-from plantainloft_standins.store_model import ModelStore, Outage, StoreClient
+from plantainloft_standins.simulated_store import ModelStore, Outage, StoreClient
 from plantainloft_standins.virtual_clock import run_in_virtual_time
 
 __all__ = ['FalseDrop', 'LeavingResult', 'LeavingScenario', 'StaleUse', 'simulate_leaving']
--- a/packages/standins/src/plantainloft_standins/limit_model.py
+++ b/packages/standins/src/plantainloft_standins/limit_simulation.py
@@ -12,9 +12,9 @@
 from typing import NamedTuple
 
 from plantainloft_core.organisations import Organisation, RateLimit
-from plantainloft_node.entry.terms import UPDATE_INTERVAL_S
+from plantainloft_node.entry.component_parameters import UPDATE_INTERVAL_S
 from plantainloft_node.fleet.demand import fleet_size, has_current_fleet_usage, sum_fleet_usage
-from plantainloft_standins.fleet_model import FleetModel, ModelInstance
+from plantainloft_standins.fleet_simulation import FleetModel, ModelInstance
 
 __all__ = ['CallerFlow', 'LimitSimulation', 'model_organisation']
 
--- a/packages/standins/src/plantainloft_standins/load_model.py
+++ b/packages/standins/src/plantainloft_standins/load_simulation.py
@@ -15,15 +15,15 @@
 
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.routes import Route, ServiceLimits, WeightedService
-from plantainloft_node.placing.budget import RetryAllowance, RetryBudget
-from plantainloft_node.placing.demand import DemandMeter, DemandReport, demand_by_region
-from plantainloft_node.placing.endpoints import EndpointRegistry, EndpointState
-from plantainloft_node.placing.placement import (
+from plantainloft_node.placement.demand import DemandMeter, DemandReport, demand_by_region
+from plantainloft_node.placement.endpoints import EndpointRegistry, EndpointState
+from plantainloft_node.placement.placement import (
     Placement,
     PlacementRequest,
     PlacementSettings,
     Selection,
 )
+from plantainloft_node.placement.retry_budget import RetryAllowance, RetryBudget
 
 __all__ = [
     'LoadModel',
--- a/packages/standins/src/plantainloft_standins/quarantine_store.py
+++ b/packages/standins/src/plantainloft_standins/quarantine_store.py
@@ -1,7 +1,11 @@
 """In-memory store of quarantined requests that can simulate an outage."""
 
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_node.quarantine.records import QuarantineStore, StoredRecord, VersionConflict
+from plantainloft_node.quarantine.store_records import (
+    QuarantineStore,
+    StoredRecord,
+    VersionConflict,
+)
 
 __all__ = ['MemoryQuarantineStore']
 
--- a/packages/standins/src/plantainloft_standins/crash_draws.py
+++ b/packages/standins/src/plantainloft_standins/random_crash_simulations.py
@@ -2,8 +2,8 @@
 
 import random
 
-from plantainloft_standins.crash_model import CrashScenario, CrashSimulation, FatalRequest
-from plantainloft_standins.fleet_model import FleetModel, FleetShape
+from plantainloft_standins.crash_simulation import CrashScenario, CrashSimulation, FatalRequest
+from plantainloft_standins.fleet_simulation import FleetModel, FleetShape
 
 __all__ = ['random_simulation']
 
--- a/packages/standins/src/plantainloft_standins/store_model.py
+++ b/packages/standins/src/plantainloft_standins/simulated_store.py
@@ -14,7 +14,7 @@
 
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.outcomes import Invalid, Unreachable
-from plantainloft_node.replica.news import (
+from plantainloft_node.replica.store_rows import (
     DECLARATIONS,
     INSTANCES,
     Change,
--- a/tests/entry_fixtures.py
+++ b/tests/entry_fixtures.py
@@ -21,17 +21,17 @@
     WeightedService,
     build_route_table,
 )
-from plantainloft_node.engine.callers import CallerConnection
-from plantainloft_node.engine.dialect import HeaderNames
-from plantainloft_node.engine.dispatch import Dispatcher, RetryLimits
-from plantainloft_node.engine.front import ForwardingHandler
-from plantainloft_node.engine.pool import ConnectionPool
+from plantainloft_node.engine.caller_connection import CallerConnection
+from plantainloft_node.engine.connection_pool import ConnectionPool
+from plantainloft_node.engine.dispatcher import Dispatcher, RetryLimits
+from plantainloft_node.engine.forwarding_handler import ForwardingHandler
+from plantainloft_node.engine.header_names import HeaderNames
 from plantainloft_node.engine.sender import Sender
 from plantainloft_node.limits.limiter import LimitSettings, RequestLimiter
-from plantainloft_node.placing.endpoints import EndpointRegistry
-from plantainloft_node.placing.placement import Placement, PlacementSettings
-from plantainloft_node.quarantine.crash_book import CrashRegistry
-from plantainloft_node.quarantine.crash_checks import CrashDetector
+from plantainloft_node.placement.endpoints import EndpointRegistry
+from plantainloft_node.placement.placement import Placement, PlacementSettings
+from plantainloft_node.quarantine.crash_detector import CrashDetector
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 from plantainloft_node.quarantine.quarantine import Quarantine
 from plantainloft_standins.quarantine_store import MemoryQuarantineStore
 
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -18,7 +18,7 @@
 from entry_fixtures import ScriptedConnection, ScriptedEndpoint
 
 from plantainloft_core.routes import CallerLimits
-from plantainloft_node.engine.callers import CallerConnection
+from plantainloft_node.engine.caller_connection import CallerConnection
 from plantainloft_node.engine.exchange import Exchange, ExchangeHandler
 
 JSON_TYPE = [(b'content-type', b'application/json')]
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from plantainloft_core.allowances import CLAIM_LEASE_S, CapacityClaims
+from plantainloft_core.capacity_claims import CLAIM_LEASE_S, CapacityClaims
 from plantainloft_core.model import Configuration, Region, build_configuration
 
 NODES = 6
--- a/tests/test_crash_model.py
+++ b/tests/test_crash_model.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from plantainloft_node.quarantine.crashes import INITIAL_TRIAL_DELAY_S
-from plantainloft_standins.crash_draws import random_simulation
-from plantainloft_standins.crash_model import CrashScenario, CrashSimulation, FatalRequest
-from plantainloft_standins.fleet_model import FleetModel, FleetShape
+from plantainloft_node.quarantine.crash_records import INITIAL_TRIAL_DELAY_S
+from plantainloft_standins.crash_simulation import CrashScenario, CrashSimulation, FatalRequest
+from plantainloft_standins.fleet_simulation import FleetModel, FleetShape
+from plantainloft_standins.random_crash_simulations import random_simulation
 
 # Limit on fatal requests sent later than PROPAGATION_S after the third crash.
 MAX_LATE_REQUESTS = 3
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -27,7 +27,7 @@
 )
 
 from plantainloft_ctl.commands.quarantine import Quarantine
-from plantainloft_ctl.explaining import explain_request
+from plantainloft_ctl.request_timeline import explain_request
 from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import Deployment, ServicePlan
 
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -7,7 +7,11 @@
 
 import pytest
 
-from plantainloft_node.entry.decision_log import JsonFormatter, NonBlockingStream, RateLimitFilter
+from plantainloft_node.entry.structured_logging import (
+    JsonFormatter,
+    NonBlockingStream,
+    RateLimitFilter,
+)
 
 
 def record(kind: str, *, at: float, **fields: object) -> logging.LogRecord:
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -9,14 +9,14 @@
 from platform_standin import endpoint_document
 
 from plantainloft_core.outcomes import Invalid
-from plantainloft_node.replica.news import (
+from plantainloft_node.replica.store_rows import (
     DECLARATIONS,
     ENDPOINTS,
     EndpointListed,
     EndpointUnreadable,
     StoreRow,
 )
-from plantainloft_platform.documents import decode_row
+from plantainloft_platform.row_decoding import decode_row
 
 BORN_MS = 1_777_518_000_301
 # The path of each required field of an endpoint row.
--- a/tests/test_expecting.py
+++ b/tests/test_expecting.py
@@ -5,19 +5,19 @@
 
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.routes import ServiceLimits
-from plantainloft_node.placing.endpoints import EndpointRegistry, EndpointState
-from plantainloft_node.placing.expecting import (
-    MAX_RECENT_KEYS,
-    RECENT_KEY_TTL_S,
-    ProcessingTimes,
-    RecentKeys,
-)
-from plantainloft_node.placing.placement import (
+from plantainloft_node.placement.endpoints import EndpointRegistry, EndpointState
+from plantainloft_node.placement.placement import (
     Placement,
     PlacementRequest,
     PlacementSettings,
     Selection,
 )
+from plantainloft_node.placement.prediction import (
+    MAX_RECENT_KEYS,
+    RECENT_KEY_TTL_S,
+    ProcessingTimes,
+    RecentKeys,
+)
 
 NOW = 1000.0
 KEY = '7'
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -2,8 +2,8 @@
 
 import json
 
-from plantainloft_ctl.explaining import explain_request, parse_log_lines
-from plantainloft_ctl.gauges import format_status_table, parse_status
+from plantainloft_ctl.instance_status import format_status_table, parse_status
+from plantainloft_ctl.request_timeline import explain_request, parse_log_lines
 
 
 def line(at: float, instance: str, kind: str, message: str, **fields: object) -> str:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -11,7 +11,7 @@
 import httpx
 from syrupy.assertion import SnapshotAssertion
 
-from plantainloft_core.committing import commit_patch
+from plantainloft_core.commits import commit_patch
 from plantainloft_core.outcomes import Committed, Unreachable
 from plantainloft_core.table_client import TableClient
 from plantainloft_standins.cluster import Cluster, wait_for_members, wait_for_version
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,13 +1,13 @@
 """Tests of fleet membership, by heartbeats and listings."""
 
 from plantainloft_node.entry.lookups import front_addresses
-from plantainloft_node.fleet.members import (
+from plantainloft_node.fleet.membership import (
     REPLACED_AFTER_S,
     FleetMember,
     FleetMembership,
     Heartbeat,
 )
-from plantainloft_node.placing.cold import cold_share
+from plantainloft_node.placement.cold_rate_limit import cold_share
 
 NOW = 1000.0
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -7,14 +7,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plantainloft_core.committing import commit_patch
+from plantainloft_core.commits import commit_patch
 from plantainloft_core.model import Configuration, parse_configuration
 from plantainloft_core.outcomes import Committed, Invalid, Unreachable
 from plantainloft_core.patching import apply_committed_patch, apply_patch
 from plantainloft_core.table_client import TableClient
 from plantainloft_core.versions import VERSIONS_PER_SNAPSHOT, Change, Snapshot, read_version
-from plantainloft_node.follower import ConfigFollower
-from plantainloft_node.sources import ConfigSource
+from plantainloft_node.config_follower import ConfigFollower
+from plantainloft_node.config_sources import ConfigSource
 from plantainloft_standins.faults import Faults
 from plantainloft_standins.table import TableService
 
--- a/tests/test_from_id_to_cause.py
+++ b/tests/test_from_id_to_cause.py
@@ -17,7 +17,7 @@
 )
 
 from plantainloft_core.organisations import digest_key
-from plantainloft_ctl.explaining import explain_request, parse_log_lines
+from plantainloft_ctl.request_timeline import explain_request, parse_log_lines
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -20,7 +20,7 @@
 )
 
 from plantainloft_core.routes import CallerLimits
-from plantainloft_node.engine.endpoint_link import connect
+from plantainloft_node.engine.upstream_connection import connect
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -10,7 +10,7 @@
 import httpx
 from syrupy.assertion import SnapshotAssertion
 
-from plantainloft_core.committing import commit_patch
+from plantainloft_core.commits import commit_patch
 from plantainloft_core.outcomes import Committed, Conflict
 from plantainloft_core.table_client import TableClient
 from plantainloft_core.versions import read_head
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -10,10 +10,10 @@
 from plantainloft_core.outcomes import Refused, Served, Unknown
 from plantainloft_core.table_client import LostResponse, TableClient, TxnCommitted, TxnConflict
 from plantainloft_core.txn_batching import TxnBatcher
+from plantainloft_node.endpoint_loads import EndpointLoadTracker
 from plantainloft_node.forwarding import Forwarder, Request
 from plantainloft_node.idempotency import IdempotencyStore, KeyClaim
-from plantainloft_node.loads import EndpointLoadTracker
-from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 from plantainloft_node.quarantine.quarantine import Quarantine
 from plantainloft_standins.faults import Faults
 from plantainloft_standins.quarantine_store import MemoryQuarantineStore
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -24,14 +24,15 @@
 from platform_standin import SETTINGS_TEMPLATE, endpoint_document
 
 from plantainloft_core.outcomes import Invalid, Unreachable
-from plantainloft_node.entry.observing import ReplicatedState
+from plantainloft_node.entry.component_parameters import local_member
 from plantainloft_node.entry.peer_calls import PeerCalls
+from plantainloft_node.entry.replicated_state import ReplicatedState
+from plantainloft_node.entry.row_replication import ROWS_CALL, RowReplication
 from plantainloft_node.entry.settings import parse_entry_settings
-from plantainloft_node.entry.sharing import ROWS_CALL, RowReplication
 from plantainloft_node.entry.store_probes import PROBE_CALL, StoreProbes
-from plantainloft_node.entry.terms import local_member
-from plantainloft_node.fleet.members import FleetMembership, Heartbeat
-from plantainloft_node.replica.news import (
+from plantainloft_node.fleet.membership import FleetMembership, Heartbeat
+from plantainloft_node.replica.store_availability import StoreAvailability
+from plantainloft_node.replica.store_rows import (
     DECLARATIONS,
     ENDPOINTS,
     Change,
@@ -40,8 +41,7 @@
     StoreRow,
     TableStore,
 )
-from plantainloft_node.replica.store_watch import StoreAvailability
-from plantainloft_platform.documents import decode_row
+from plantainloft_platform.row_decoding import decode_row
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_leaving_model.py
+++ b/tests/test_leaving_model.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from plantainloft_node.entry.polling import LONG_WAIT_S
-from plantainloft_standins.leaving_model import LeavingScenario, simulate_leaving
-from plantainloft_standins.store_model import FailureMode, Outage
+from plantainloft_node.entry.store_polling import LONG_WAIT_S
+from plantainloft_standins.leaving_simulation import LeavingScenario, simulate_leaving
+from plantainloft_standins.simulated_store import FailureMode, Outage
 
 INSTANCES = tuple(f'e{region}-{number}' for region in range(3) for number in range(4))
 # An endpoint gets no new requests this long after its row was removed. This does not
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,23 +6,23 @@
 
 from plantainloft_core.organisations import Organisation, RateLimit, build_organisation_index
 from plantainloft_node.fleet.demand import fleet_size
-from plantainloft_node.fleet.ranking import zone_relays
+from plantainloft_node.fleet.relay_selection import zone_relays
 from plantainloft_node.limits.limiter import DEFAULT_LIMIT_SETTINGS, LimitSettings, RequestLimiter
-from plantainloft_node.limits.shares import (
-    DemandProportionalShares,
-    EqualShares,
-    FleetSize,
-    LimitState,
-)
-from plantainloft_node.limits.uses import (
+from plantainloft_node.limits.organisation_usage import (
     MAX_REPORTED_USAGES,
     OrganisationUsage,
     decode_usage,
     encode_usage,
     organisation_number,
 )
-from plantainloft_standins.fleet_model import FleetModel, FleetShape
-from plantainloft_standins.limit_model import CallerFlow, LimitSimulation, model_organisation
+from plantainloft_node.limits.shares import (
+    DemandProportionalShares,
+    EqualShares,
+    FleetSize,
+    LimitState,
+)
+from plantainloft_standins.fleet_simulation import FleetModel, FleetShape
+from plantainloft_standins.limit_simulation import CallerFlow, LimitSimulation, model_organisation
 
 EXACT = LimitSettings(window_s=5.0, overshoot_ratio=0.0, overshoot_requests=0.0)
 TEN_PER_WINDOW = Organisation('desk', frozenset(), limit=RateLimit(1.0, 5.0))
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -6,9 +6,9 @@
 import cappa
 import pytest
 
-from plantainloft_ctl.explaining import LogLine, parse_log_lines
 from plantainloft_ctl.losses import count_by_group, count_unlogged_losses, find_losses
 from plantainloft_ctl.main import Plantainctl
+from plantainloft_ctl.request_timeline import LogLine, parse_log_lines
 
 PLACEMENT_FIELDS = {
     'endpoint_zone': 'ank-b',
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -24,9 +24,9 @@
 )
 from plantainloft_core.outcomes import Invalid
 from plantainloft_core.routes import NO_REGIONS, RouteTable
-from plantainloft_node.replica.news import DECLARATIONS, RoutesDeclared, StoreRow
-from plantainloft_platform.documents import decode_row
+from plantainloft_node.replica.store_rows import DECLARATIONS, RoutesDeclared, StoreRow
 from plantainloft_platform.organisations import replace_keys_with_digests
+from plantainloft_platform.row_decoding import decode_row
 
 KEY = b'k-ankara-bar'
 KEY_HEADER = b'Api-Key: k-ankara-bar\r\n'
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -3,7 +3,7 @@
 import pytest
 
 from plantainloft_standins.deployments import READS, WRITES, nearby_regions_scenario
-from plantainloft_standins.load_model import (
+from plantainloft_standins.load_simulation import (
     LoadModel,
     Scenario,
     earned_value_fraction,
--- a/tests/test_own_organisations.py
+++ b/tests/test_own_organisations.py
@@ -11,8 +11,8 @@
 import httpx
 import pytest
 
-from plantainloft_core.allowances import CapacityClaims
-from plantainloft_core.committing import commit_patch
+from plantainloft_core.capacity_claims import CapacityClaims
+from plantainloft_core.commits import commit_patch
 from plantainloft_core.model import Configuration, parse_configuration
 from plantainloft_core.organisations import digest_key
 from plantainloft_core.outcomes import Committed, Invalid, Refused
@@ -22,8 +22,12 @@
 from plantainloft_ctl.commands.organisations import Organisations
 from plantainloft_ctl.organisations import aggregate_organisations
 from plantainloft_ctl.plot import plot_organisations
-from plantainloft_node.deciding import EndpointSelector, NearestZoneSelector, TrafficSplitSelector
-from plantainloft_node.loads import EndpointLoadTracker
+from plantainloft_node.endpoint_loads import EndpointLoadTracker
+from plantainloft_node.endpoint_selection import (
+    EndpointSelector,
+    NearestZoneSelector,
+    TrafficSplitSelector,
+)
 from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import Deployment, ServicePlan
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -4,11 +4,11 @@
 from entry_fixtures import SERVICE, make_route, make_route_table
 
 from plantainloft_core.outcomes import Invalid
-from plantainloft_node.placing.endpoints import EndpointRegistry
-from plantainloft_node.placing.health import EndpointHealth
-from plantainloft_node.placing.pace import ServiceLatency, longest_timeout_by_service
-from plantainloft_node.replica.beliefs import RoutingState
-from plantainloft_node.replica.news import EndpointListed, RoutesDeclared, StoreRow
+from plantainloft_node.placement.endpoints import EndpointRegistry
+from plantainloft_node.placement.health import EndpointHealth
+from plantainloft_node.placement.latency import ServiceLatency, longest_timeout_by_service
+from plantainloft_node.replica.routing_state import RoutingState
+from plantainloft_node.replica.store_rows import EndpointListed, RoutesDeclared, StoreRow
 
 NOW = 1000.0
 
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 
 from plantainloft_core.lookup import Member
+from plantainloft_core.membership_list import MembershipList, MembershipStatus
 from plantainloft_core.outcomes import Unreachable
-from plantainloft_core.roster import MembershipList, MembershipStatus
 from plantainloft_node.peering import PeerConnection, PeerTrafficCounter, serve_peers
-from plantainloft_standins.launch import free_port
+from plantainloft_standins.processes import free_port
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -9,17 +9,21 @@
 
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.routes import ServiceLimits, WeightedService
-from plantainloft_node.placing.budget import RetryAllowance, RetryBudget, SlidingWindowCounter
-from plantainloft_node.placing.cold import cold_share
-from plantainloft_node.placing.endpoints import EndpointRegistry
-from plantainloft_node.placing.placement import (
+from plantainloft_node.placement.cold_rate_limit import cold_share
+from plantainloft_node.placement.endpoints import EndpointRegistry
+from plantainloft_node.placement.placement import (
     NoCapacity,
     Placement,
     PlacementRequest,
     PlacementSettings,
     Selection,
 )
-from plantainloft_node.placing.splitting import SmoothWeightedRoundRobin
+from plantainloft_node.placement.retry_budget import (
+    RetryAllowance,
+    RetryBudget,
+    SlidingWindowCounter,
+)
+from plantainloft_node.placement.weighted_round_robin import SmoothWeightedRoundRobin
 
 NOW = 1000.0
 SERVICE_LIMITS = ServiceLimits(
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,7 +22,7 @@
 )
 
 from plantainloft_core.outcomes import Invalid, Unreachable
-from plantainloft_node.replica.news import (
+from plantainloft_node.replica.store_rows import (
     DECLARATIONS,
     ENDPOINTS,
     EndpointGone,
@@ -34,7 +34,7 @@
     StoreRow,
     ZoneEvacuation,
 )
-from plantainloft_platform.documents import decode_row
+from plantainloft_platform.row_decoding import decode_row
 from plantainloft_platform.store import PlatformStore
 
 pytestmark = pytest.mark.anyio
--- a/tests/test_polling.py
+++ b/tests/test_polling.py
@@ -1,10 +1,10 @@
 """Waits of long polls, and recovery from polls that the store never answers."""
 
-from plantainloft_node.entry.observing import POLL_PAUSE_S_BY_TABLE
-from plantainloft_node.entry.polling import LONG_WAIT_S, SHORT_WAIT_S, poll_wait_s
-from plantainloft_node.fleet.members import FleetMember, FleetMembership, Heartbeat
-from plantainloft_node.replica.follower import BACKOFF_MIN_S
-from plantainloft_node.replica.news import ENDPOINTS
+from plantainloft_node.entry.replicated_state import POLL_PAUSE_S_BY_TABLE
+from plantainloft_node.entry.store_polling import LONG_WAIT_S, SHORT_WAIT_S, poll_wait_s
+from plantainloft_node.fleet.membership import FleetMember, FleetMembership, Heartbeat
+from plantainloft_node.replica.store_rows import ENDPOINTS
+from plantainloft_node.replica.table_poller import BACKOFF_MIN_S
 from plantainloft_platform.store import CALL_TIMEOUT_S
 
 NOW = 1000.0
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -7,19 +7,19 @@
 from hypothesis import strategies as st
 
 from plantainloft_core.outcomes import Invalid
-from plantainloft_node.quarantine.crash_book import (
+from plantainloft_node.quarantine.crash_codec import CRASH_BYTES, pack_crashes, unpack_crashes
+from plantainloft_node.quarantine.crash_detector import EndpointAttempt
+from plantainloft_node.quarantine.crash_records import CRASH_RETENTION_S, INITIAL_TRIAL_DELAY_S
+from plantainloft_node.quarantine.crash_registry import (
     MAX_CRASHES_PER_REPORT,
     MAX_CRASHES_PER_REQUEST,
     MAX_TRACKED_REQUESTS,
     RECENT_CHANGE_S,
     CrashRegistry,
 )
-from plantainloft_node.quarantine.crash_checks import EndpointAttempt
-from plantainloft_node.quarantine.crash_codec import CRASH_BYTES, pack_crashes, unpack_crashes
-from plantainloft_node.quarantine.crashes import CRASH_RETENTION_S, INITIAL_TRIAL_DELAY_S
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint, compute_fingerprint
 from plantainloft_node.quarantine.quarantine import Admitted, Blocked, Quarantine, Trial
-from plantainloft_node.quarantine.records import StoredRecord
+from plantainloft_node.quarantine.store_records import StoredRecord
 from plantainloft_standins.quarantine_store import MemoryQuarantineStore
 
 NOW = 1000.0
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plantainloft_node.placing.regions import RegionShares, target_region_shares
+from plantainloft_node.placement.regions import RegionShares, target_region_shares
 
 REGIONS = ('ankara', 'istanbul', 'izmir', 'bursa')
 SLOTS = {'ankara': 72.0, 'istanbul': 12.0, 'izmir': 84.0, 'bursa': 20.0}
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -9,14 +9,14 @@
 import pytest
 
 from plantainloft_node.fleet.datagrams import PackedReport, pack_datagrams
-from plantainloft_node.fleet.intake import ReportReceiver
-from plantainloft_node.fleet.members import FleetMember, FleetMembership, Heartbeat
-from plantainloft_node.fleet.ranking import zone_relays
+from plantainloft_node.fleet.membership import FleetMember, FleetMembership, Heartbeat
+from plantainloft_node.fleet.relay_selection import zone_relays
 from plantainloft_node.fleet.report_codec import pack_report
+from plantainloft_node.fleet.report_receiver import ReportReceiver
 from plantainloft_node.fleet.reports import ZoneReport
-from plantainloft_node.quarantine.crash_book import CrashRegistry
+from plantainloft_node.quarantine.crash_registry import CrashRegistry
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
-from plantainloft_standins.fleet_model import FleetModel, FleetShape
+from plantainloft_standins.fleet_simulation import FleetModel, FleetShape
 
 SMALL = FleetShape()
 MEDIUM = FleetShape(instances=12)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -5,9 +5,11 @@
 
 from plantainloft_core.discovery import EndpointRecord
 from plantainloft_core.routes import CallerLimits, build_route_table
-from plantainloft_node.placing.endpoints import EndpointRegistry
-from plantainloft_node.replica.beliefs import RoutingState
-from plantainloft_node.replica.news import (
+from plantainloft_node.placement.endpoints import EndpointRegistry
+from plantainloft_node.replica.routing_state import RoutingState
+from plantainloft_node.replica.row_replica import RowReplica
+from plantainloft_node.replica.store_availability import ROW_EXPIRY_GRACE_S
+from plantainloft_node.replica.store_rows import (
     DECLARATIONS,
     ENDPOINTS,
     Change,
@@ -18,8 +20,6 @@
     RowBatch,
     StoreRow,
 )
-from plantainloft_node.replica.rows import RowReplica
-from plantainloft_node.replica.store_watch import ROW_EXPIRY_GRACE_S
 
 NOW = 1000.0
 
@@ -169,7 +169,7 @@
 
 def test_the_number_of_tombstones_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against memory use that grows with every endpoint that ever left."""
-    monkeypatch.setattr('plantainloft_node.replica.rows.MAX_TOMBSTONES', 10)
+    monkeypatch.setattr('plantainloft_node.replica.row_replica.MAX_TOMBSTONES', 10)
     rows = RowReplica()
     for number in range(100):
         rows.merge([row(f'i{number}', 2 * number + 1)])
@@ -185,7 +185,7 @@
     The instance was partitioned while many endpoints left, and then asks a peer
     that has already pruned the oldest of those tombstones.
     """
-    monkeypatch.setattr('plantainloft_node.replica.rows.MAX_TOMBSTONES', 2)
+    monkeypatch.setattr('plantainloft_node.replica.row_replica.MAX_TOMBSTONES', 2)
     behind, ahead = RowReplica(), RowReplica()
     for copy in (behind, ahead):
         copy.merge([row('gone', 1), row('stays', 2)])
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -6,21 +6,21 @@
 from platform_standin import SETTINGS_TEMPLATE, running_store
 
 from plantainloft_core.outcomes import Invalid
-from plantainloft_node.entry.instance_list import InstanceRegistry
-from plantainloft_node.entry.observing import ReplicatedState
+from plantainloft_node.entry.component_parameters import local_member
+from plantainloft_node.entry.instance_registry import InstanceRegistry
 from plantainloft_node.entry.peer_calls import PeerCalls
+from plantainloft_node.entry.replicated_state import ReplicatedState
+from plantainloft_node.entry.row_replication import RowReplication
 from plantainloft_node.entry.settings import EntrySettings, parse_entry_settings
-from plantainloft_node.entry.sharing import RowReplication
-from plantainloft_node.entry.terms import local_member
-from plantainloft_node.fleet.members import (
+from plantainloft_node.fleet.membership import (
     REPLACED_AFTER_S,
     FleetMember,
     FleetMembership,
     Heartbeat,
 )
-from plantainloft_node.placing.affinity import rendezvous_score
-from plantainloft_node.replica.news import INSTANCES, RowBatch
-from plantainloft_node.streams.links import PeerConnections
+from plantainloft_node.placement.rendezvous import rendezvous_score
+from plantainloft_node.replica.store_rows import INSTANCES, RowBatch
+from plantainloft_node.streams.connections import PeerConnections
 from plantainloft_platform.store import PlatformStore
 
 pytestmark = pytest.mark.anyio
--- a/tests/test_shifting.py
+++ b/tests/test_shifting.py
@@ -6,11 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plantainloft_core.committing import commit_patch
+from plantainloft_core.commits import commit_patch
 from plantainloft_core.outcomes import Committed, Invalid
-from plantainloft_core.planning import RegionLoad, target_shares
-from plantainloft_core.shifting import SHIFT_WINDOW_S, TrafficSplit
 from plantainloft_core.table_client import TableClient
+from plantainloft_core.target_split import RegionLoad, target_shares
+from plantainloft_core.traffic_split import SHIFT_WINDOW_S, TrafficSplit
 
 REGIONS = ('ankara', 'istanbul', 'izmir')
 REQUESTS_PER_S = 40
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from plantainloft_core.committing import commit_patch
+from plantainloft_core.commits import commit_patch
 from plantainloft_core.outcomes import Committed, Conflict, Invalid, Unreachable
 from plantainloft_core.table_client import TableClient
 from plantainloft_core.versions import read_head
