--- a/packages/node/src/plantainloft_node/limits/limiter.py
+++ b/packages/node/src/plantainloft_node/limits/limiter.py
@@ -39,7 +39,7 @@
 TOLERANCE_FRACTION = 0.35
 MIN_RETRY_AFTER_S = 0.1
 # A demand within this many standard deviations of the lowest count may be constant.
-DEVIATIONS = 1.5
+DEMAND_DEVIATIONS = 1.5
 # A shorter fraction of a window says too little about the demand.
 MIN_REPORTED_FRACTION = 0.2
 # Lower bound of the elapsed window fraction, so that an instance that has just
@@ -124,7 +124,7 @@
         self._share_rule = share_rule or DemandProportionalShares()
         self._size = FleetSize(0, 0)
         self._started_at: float | None = None
-        self._fleet_by_number: Mapping[int, OrganisationUsage] = {}
+        self._fleet_usage_by_number: Mapping[int, OrganisationUsage] = {}
         self._counters_by_name: dict[str, _Counters] = {}
 
     def admit(self, organisation: Organisation, now: float) -> LimitExceeded | None:
@@ -143,7 +143,7 @@
             organisation=organisation.name,
             share=share,
             used=used,
-            fleet=self._fleet(organisation.name),
+            fleet=self._fleet_usage(organisation.name),
             retry_after_s=counters.retry_after_s(share, now, self.settings.window_s),
         )
 
@@ -175,7 +175,7 @@
 
     def update_fleet_usage(
         self,
-        fleet_by_number: Mapping[int, OrganisationUsage],
+        fleet_usage_by_number: Mapping[int, OrganisationUsage],
         size: FleetSize,
         now: float,
         *,
@@ -183,11 +183,12 @@
     ) -> None:
         """Set the sum of the reports of all instances, including this one.
 
-        ``reports_are_recent``: the reports are recent.
+        ``reports_are_recent``: the sum is current, so that shares may follow the demand
+        counted here.
         """
         if self._started_at is None:
             self._started_at = now
-        self._fleet_by_number = fleet_by_number
+        self._fleet_usage_by_number = fleet_usage_by_number
         self._size = size
         if not reports_are_recent:
             # Demand that grows here while reports are missing doesn't justify a
@@ -218,7 +219,7 @@
                 used=counters.used.count(now),
                 wanted=counters.wanted.count(now),
                 refused=counters.refused,
-                fleet=self._fleet(name),
+                fleet=self._fleet_usage(name),
             )
         return usage_by_name
 
@@ -226,7 +227,7 @@
         state = LimitState(
             allowance=self.settings.allowance(limit),
             wanted=counters.reported_wanted(),
-            fleet=self._fleet(name),
+            fleet=self._fleet_usage(name),
         )
         share = self._share_rule.share(state, self._size)
         fraction = self._window_fraction(now)
@@ -249,8 +250,8 @@
         drawn = rendezvous_score(f'{self._instance}/{name}', str(int(now / self.settings.window_s)))
         return whole + (drawn / _SCORE_RANGE < share - whole)
 
-    def _fleet(self, name: str) -> OrganisationUsage:
-        return self._fleet_by_number.get(organisation_number(name), ZERO_USAGE)
+    def _fleet_usage(self, name: str) -> OrganisationUsage:
+        return self._fleet_usage_by_number.get(organisation_number(name), ZERO_USAGE)
 
     def _counters_of(self, name: str) -> '_Counters':
         counters = self._counters_by_name.get(name)
@@ -261,7 +262,7 @@
 
 
 class _Sample(NamedTuple):
-    at: float
+    sampled_at: float
     wanted: int
 
 
@@ -273,13 +274,13 @@
         self.wanted = SlidingWindowCounter(window_s=window_s)
         self.refused = 0
         self._samples: deque[_Sample] = deque()
-        # Times at which refused callers were told to retry.
+        # Times at which refused callers should retry, as answered to them.
         self._retry_times: deque[float] = deque()
 
     def sample_wanted(self, now: float) -> None:
         """Sample the demand; samples are kept until all instances know their report."""
         self._samples.append(_Sample(now, self.wanted.count(now)))
-        while len(self._samples) > 1 and self._samples[1].at <= now - MAX_REPORT_DELAY_S:
+        while len(self._samples) > 1 and self._samples[1].sampled_at <= now - MAX_REPORT_DELAY_S:
             self._samples.popleft()
 
     def reported_wanted(self) -> float:
@@ -294,11 +295,12 @@
         counts = [sample.wanted for sample in self._samples]
         lowest = min(counts)
         return min(
-            sum(counts) / len(counts), lowest + random_deviation(lowest, deviations=DEVIATIONS) + 1
+            sum(counts) / len(counts),
+            lowest + random_deviation(lowest, deviations=DEMAND_DEVIATIONS) + 1,
         )
 
     def retry_after_s(self, share: float, now: float, window_s: float) -> float:
-        """Return the seconds until a request can be admitted that no other caller was told of."""
+        """Return the seconds until the next admission not yet offered to another caller."""
         while self._retry_times and self._retry_times[0] <= now:
             self._retry_times.popleft()
         ahead = len(self.used) - max(1, math.floor(share)) + len(self._retry_times)
--- a/packages/node/src/plantainloft_node/limits/organisation_usage.py
+++ b/packages/node/src/plantainloft_node/limits/organisation_usage.py
@@ -17,7 +17,7 @@
     'sum_usage',
 ]
 
-# With at most this many, a report fits into one datagram.
+# With at most this many usages, a report fits into one datagram.
 MAX_REPORTED_USAGES = 96
 NUMBER_CACHE_SIZE = 4096
 _USAGE_FORMAT = struct.Struct('<IHH')
@@ -70,7 +70,10 @@
     if not packed:
         return {}
     if len(packed) > MAX_REPORTED_USAGES * _USAGE_FORMAT.size:
-        raise ValueError(f'too many uses: {len(packed)} bytes, at most {MAX_REPORTED_USAGES} uses')
+        raise ValueError(
+            f'too many usages in a report: {len(packed)} bytes, '
+            f'at most {MAX_REPORTED_USAGES} usages of {_USAGE_FORMAT.size} bytes'
+        )
     return {
         number: OrganisationUsage(used, wanted)
         for number, used, wanted in _USAGE_FORMAT.iter_unpack(packed)
--- a/packages/node/src/plantainloft_node/limits/peer_usage_reports.py
+++ b/packages/node/src/plantainloft_node/limits/peer_usage_reports.py
@@ -13,7 +13,7 @@
 
 class _Report(NamedTuple):
     usage_by_number: Mapping[int, OrganisationUsage]
-    at: float
+    received_at: float
 
 
 class PeerUsageReports:
@@ -43,6 +43,6 @@
         self._report_by_name = {
             name: report
             for name, report in self._report_by_name.items()
-            if now - report.at < REPORT_TTL_S
+            if now - report.received_at < REPORT_TTL_S
         }
         return self._report_by_name
--- a/packages/node/src/plantainloft_node/limits/shares.py
+++ b/packages/node/src/plantainloft_node/limits/shares.py
@@ -22,8 +22,8 @@
     'share_after_start',
 ]
 
-# Fraction of an allowance that is divided equally among instances, regardless of
-# demand.
+# This fraction of an allowance is added to the demand, in equal parts for all
+# instances, so that an instance without demand gets a share as well.
 EQUAL_FRACTION = 0.6
 # An instance may use its whole headroom while at least this fraction of the
 # allowance is not requested.
@@ -54,8 +54,8 @@
     """An organisation's allowance and demand in one window, as known to an instance.
 
     ``allowance`` is the number of requests that all instances together may admit,
-    ``wanted`` the demand at this instance as far as its reports should have reached
-    all others, ``fleet`` the sum of all reports.
+    ``wanted`` the demand at this instance by those of its reports that should have
+    reached all others, ``fleet`` the sum of all reports.
     """
 
     allowance: float
@@ -82,9 +82,10 @@
 class DemandProportionalShares(ShareRule):
     """Shares by the demand at each instance, or equal shares if it is unknown.
 
-    An instance that hears from at most half of the instances may be in the smaller
-    part of a network partition and takes an equal share. Instances in the larger
-    part divide only what is left after the equal shares of the unreachable ones.
+    An instance that gets reports from at most half of the instances, counting itself,
+    may be in the smaller part of a network partition and takes an equal share.
+    Instances in the larger part divide only what is left after the equal shares of the
+    unreachable ones.
     """
 
     def share(self, state: LimitState, size: FleetSize) -> float:
@@ -110,7 +111,7 @@
 
 
 def share_after_start(share: float, fraction: float, state: LimitState) -> float:
-    """Return the part of ``share`` that may be admitted early after a start.
+    """Return the part of ``share`` that may be admitted this soon after a start.
 
     ``fraction`` (0..1) is the fraction of a window that has passed since then.
     Requests admitted before a restart still count in the window although this
--- a/packages/node/src/plantainloft_node/placement/cold_rate_limit.py
+++ b/packages/node/src/plantainloft_node/placement/cold_rate_limit.py
@@ -14,8 +14,9 @@
 
 __all__ = ['ColdRateLimiter', 'cold_share']
 
-# The remainder covers instances that restart and forget what they sent, and
-# instances whose lists of instances differ for a moment.
+# Fraction of the limit that is divided among instances. The rest covers instances
+# that restart and forget what they sent, and instances whose lists of instances
+# differ for a moment.
 DISTRIBUTED_FRACTION = 0.8
 # The limit applies to any second at the endpoint. The window is longer because
 # requests sent a second apart may arrive closer together.
@@ -32,12 +33,13 @@
 ) -> int:
     """Return the requests per window that this instance may send to a cold endpoint.
 
-    ``max_rate`` is the most that all instances together may send in a second. The
-    remainder of the division goes to instances of the endpoint's ``region``
-    first, whose callers it mostly serves, in order of their score for the
-    endpoint's id. In a large fleet only these instances get a share: divided
-    over all regions, most shares would go to instances whose callers don't use
-    the endpoint. An instance that is missing from the list gets none.
+    ``max_rate`` is the most that all instances together may send in a second. Every
+    instance gets the same whole number. What remains of the division goes, one
+    request each, first to instances of the endpoint's ``region``, because it mostly
+    serves their callers, in order of their score for the endpoint's id. In a large
+    fleet that whole number is zero, and only these instances get a share: divided
+    over all regions, most shares would go to instances whose callers don't use the
+    endpoint. An instance that is missing from the list gets none.
     """
     if instance not in region_by_instance:
         return 0
--- a/packages/node/src/plantainloft_node/placement/demand.py
+++ b/packages/node/src/plantainloft_node/placement/demand.py
@@ -39,11 +39,11 @@
             self.rate_by_service[service] = previous + weight * (rate - previous)
 
 
-def demand_by_region(instances: Iterable[DemandReport]) -> dict[str, dict[str, float]]:
-    """Return the sum of the rates by service, then by region."""
+def demand_by_region(reports: Iterable[DemandReport]) -> dict[str, dict[str, float]]:
+    """Return the sum of the reported rates, by service and then by region."""
     total: dict[str, dict[str, float]] = {}
-    for instance in instances:
-        for service, rate in instance.rate_by_service.items():
+    for report in reports:
+        for service, rate in report.rate_by_service.items():
             by_region = total.setdefault(service, {})
-            by_region[instance.region] = by_region.get(instance.region, 0.0) + rate
+            by_region[report.region] = by_region.get(report.region, 0.0) + rate
     return total
--- a/packages/node/src/plantainloft_node/placement/endpoints.py
+++ b/packages/node/src/plantainloft_node/placement/endpoints.py
@@ -81,9 +81,9 @@
         self.service_latency.record_response_time(took_s)
         self._own_latency.record_response_time(took_s, now)
 
-    def record_connect_time(self, after_s: float) -> None:
+    def record_connect_time(self, took_s: float) -> None:
         """Record the time that opening a connection took."""
-        self._round_trips.record(self.record.zone, after_s)
+        self._round_trips.record(self.record.zone, took_s)
 
     def record_processing(
         self, key: str, took_s: float, now: float, *, had_free_slot: bool
--- a/packages/node/src/plantainloft_node/placement/health.py
+++ b/packages/node/src/plantainloft_node/placement/health.py
@@ -9,8 +9,8 @@
 
 __all__ = ['EndpointHealth']
 
-# Weight of the newest answer in the failure ratio: five answers distinguish a
-# failing endpoint from a single failure.
+# Weight of the newest answer in the failure ratio: about five answers count, enough
+# to distinguish a failing endpoint from a single failure.
 NEWEST_WEIGHT = 0.2
 EJECTION_FAILURE_RATIO = 0.45
 # The first ejection lasts ``MIN_EJECTION_S``; the time doubles as long as the
--- a/packages/node/src/plantainloft_node/placement/placement.py
+++ b/packages/node/src/plantainloft_node/placement/placement.py
@@ -38,11 +38,12 @@
 class PlacementSettings(NamedTuple):
     """Limits of the deployment that placement must keep.
 
-    All instances together may send a cold endpoint ``cold_over`` times its cold
-    rate plus ``cold_slack`` requests in a second. ``max_share_step`` is the most by
-    which the shares (0..1) of regions change in one update. ``max_spill_decrease`` is the
-    most by which the share of requests that run outside their region for lack of
-    capacity falls, after startup, from one ``shift_window_s`` to the next.
+    All instances together may send a cold endpoint ``cold_over`` times the cold rate
+    of its service plus ``cold_slack`` requests in a second. ``max_share_step`` is the
+    most by which the shares (0..1) of regions change in one update.
+    ``max_spill_decrease`` applies after startup: the share (0..1) of requests that run
+    outside their region for lack of capacity falls by at most this much from one
+    ``shift_window_s`` to the next.
     """
 
     region: str
@@ -61,7 +62,7 @@
         self.settings = settings
         self._endpoint_registry = endpoint_registry
         self._region_by_instance: dict[str, str] = {}
-        self._cold_share_by_id: dict[tuple[str, float], int] = {}
+        self._cold_share_by_id_and_rate: dict[tuple[str, float], int] = {}
         self._ranking_by_key: dict[tuple[str, str], list[str]] = {}
         self._ranked_revision = -1
         self._shares_by_service: dict[str, RegionShares] = {}
@@ -71,7 +72,7 @@
     def select_endpoint(
         self, request: PlacementRequest, service_limits: ServiceLimits, now: float
     ) -> Selection | NoCapacity:
-        """Return the endpoint for ``request``, or that none has capacity."""
+        """Return the endpoint for ``request``, or ``NoCapacity`` if none can take it."""
         local, remote = self._candidates(request, service_limits, now)
         if not local and not remote:
             return NoCapacity(reason='no endpoint is usable')
@@ -97,13 +98,13 @@
 
     def spilled_share(self, now: float) -> float:
         """Return the share (0..1) of recent requests that spilled over."""
-        return self._spillover_limiter.share(now)
+        return self._spillover_limiter.spilled_share(now)
 
     def update_instances(self, region_by_instance: Mapping[str, str]) -> None:
         """Set the instances among which limits are divided, with their regions."""
         if self._region_by_instance != region_by_instance:
             self._region_by_instance = dict(region_by_instance)
-            self._cold_share_by_id.clear()
+            self._cold_share_by_id_and_rate.clear()
 
     def update_failing_services(self, now: float) -> None:
         """Ignore ejections in services with too many failing endpoints.
@@ -138,7 +139,7 @@
             shares.update(target, slots)
 
     def record_sent(self, state: EndpointState, now: float) -> None:
-        """Count a request as sent to ``state``."""
+        """Count a request sent to ``state`` against its rate limit while it is cold."""
         if state.is_cold(now):
             state.cold_limiter.record_sent(now)
 
@@ -201,7 +202,7 @@
     def _cold_share(self, state: EndpointState, service_limits: ServiceLimits) -> int:
         settings = self.settings
         max_rate = service_limits.cold_requests_per_s * settings.cold_over + settings.cold_slack
-        known = self._cold_share_by_id.get((state.record.id, max_rate))
+        known = self._cold_share_by_id_and_rate.get((state.record.id, max_rate))
         if known is not None:
             return known
         share = cold_share(
@@ -211,13 +212,13 @@
             endpoint_id=state.record.id,
             region=state.region,
         )
-        self._cold_share_by_id[(state.record.id, max_rate)] = share
+        self._cold_share_by_id_and_rate[(state.record.id, max_rate)] = share
         return share
 
     def _ranking(self, request: PlacementRequest) -> list[str]:
         if self._ranked_revision != self._endpoint_registry.revision:
             self._ranking_by_key.clear()
-            self._cold_share_by_id.clear()
+            self._cold_share_by_id_and_rate.clear()
             self._ranked_revision = self._endpoint_registry.revision
         cache_key = (request.service, request.key)
         ranking = self._ranking_by_key.get(cache_key)
--- a/packages/node/src/plantainloft_node/placement/prediction.py
+++ b/packages/node/src/plantainloft_node/placement/prediction.py
@@ -15,9 +15,10 @@
 NEWEST_WEIGHT = 0.05
 # Used before the first answer.
 DEFAULT_PROCESSING_S = 0.3
-# Number of objects that an endpoint is assumed to have cached, and for how long
-# after its last answer on an object to this instance. An endpoint handles about
-# a dozen requests a second, including those of other instances.
+# An endpoint is assumed to have cached the last MAX_RECENT_KEYS objects of its
+# answers to this instance, each for RECENT_KEY_TTL_S after its last answer. An
+# endpoint handles about a dozen requests a second, including those of other
+# instances.
 MAX_RECENT_KEYS = 64
 RECENT_KEY_TTL_S = 20.0
 # A connection that opens faster than the estimate indicates a shorter round trip;
--- a/packages/node/src/plantainloft_node/placement/regions.py
+++ b/packages/node/src/plantainloft_node/placement/regions.py
@@ -52,11 +52,11 @@
     others = {name: count for name, count in slots.items() if name != own_region and count > 0}
     if not others:
         return {own_region: 1.0}
-    free = {
+    spare = {
         name: _spare_capacity(count, demand.get(name, 0.0), max_local_load)
         for name, count in others.items()
     }
-    weights = free if any(free.values()) else others
+    weights = spare if any(spare.values()) else others
     per_weight = (1 - local) / sum(weights.values())
     return {own_region: local, **{name: per_weight * weight for name, weight in weights.items()}}
 
@@ -74,7 +74,7 @@
     def update(self, target: dict[str, float], slots: Mapping[str, float]) -> None:
         """Move towards ``target``, or switch to it at once if a region lost slots.
 
-        Moving slowly keeps each traffic shift within the shift cap. A region
+        Moving slowly keeps each shift within the traffic shift cap. A region
         that lost a large part of its slots would be overloaded in the meantime.
         """
         if not self._shares or _lost_slots(self._max_slots, slots):
@@ -86,7 +86,7 @@
             for name, count in slots.items()
         }
         names = set(target) | set(self._shares)
-        # What one region loses, others gain: half of all differences moves.
+        # What one region loses, others gain, so half the sum of differences moves.
         distance = sum(self._difference(name, target) for name in names) / 2
         fraction = min(1.0, self._max_step / distance) if distance > 0 else 1.0
         self._shares = {name: self._interpolated(name, target, fraction) for name in names}
@@ -96,7 +96,7 @@
         return dict(self._shares)
 
     def region_of(self, key: str) -> str | None:
-        """Return the region of ``key``, or none if there are no shares.
+        """Return the region of ``key``, or ``None`` if there are no shares.
 
         If the shares were consecutive ranges of hashes, changing one of them
         would move all boundaries after it, and keys would move between regions
--- a/packages/node/src/plantainloft_node/placement/rendezvous.py
+++ b/packages/node/src/plantainloft_node/placement/rendezvous.py
@@ -16,7 +16,7 @@
 
 
 def rendezvous_score(key: str, candidate: str) -> int:
-    """Return the 32-bit weight of ``candidate`` for ``key``; the highest wins.
+    """Return the 32-bit score of ``candidate`` for ``key``; the highest wins.
 
     CRC-32 alone is linear: the order of two candidates would be nearly the same
     for every key. The multiplications and the shift break the linearity.
--- a/packages/node/src/plantainloft_node/placement/retry_budget.py
+++ b/packages/node/src/plantainloft_node/placement/retry_budget.py
@@ -68,8 +68,8 @@
 class RetryBudget:
     """Limits the retries that this instance sends to one service.
 
-    Without a budget, an overloaded service gets its refusals back as more
-    load: arrivals climb while successes fall. Retries stay below a ratio of
+    Without a budget, requests that an overloaded service refuses return to it as
+    retries: its load rises while successes fall. Retries stay below a ratio of
     the requests of the same window, plus this instance's part of a fixed
     allowance for services with few requests.
     """
--- a/packages/node/src/plantainloft_node/placement/selection.py
+++ b/packages/node/src/plantainloft_node/placement/selection.py
@@ -101,8 +101,8 @@
     """Return the load at which ``state`` gets no more requests of ``route``."""
     if not may_queue:
         return state.record.slots * SPILL_MAX_USED_FRACTION
-    queue = QUEUE_RATIO_BY_PRIORITY[min(route.priority, len(QUEUE_RATIO_BY_PRIORITY) - 1)]
-    return state.record.slots * (1 + queue)
+    queue_ratio = QUEUE_RATIO_BY_PRIORITY[min(route.priority, len(QUEUE_RATIO_BY_PRIORITY) - 1)]
+    return state.record.slots * (1 + queue_ratio)
 
 
 def _worst_case_answer_s(state: EndpointState, load: float) -> float:
--- a/packages/node/src/plantainloft_node/placement/spillover.py
+++ b/packages/node/src/plantainloft_node/placement/spillover.py
@@ -1,6 +1,6 @@
 """Spillover: requests that run outside their region because their endpoint is full.
 
-At startup all objects are cold and every free slot anywhere is needed, so a
+At startup no object is cached and every free slot anywhere is needed, so a
 large part of the requests spills over. About two seconds later the own region
 has free slots. If all spilled traffic returned at once, more of a region's
 traffic would change its region than the traffic shift cap allows; if the
@@ -42,7 +42,7 @@
             self._spilled.add(now)
             self._spilled_in_two_windows.add(now)
 
-    def share(self, now: float) -> float:
+    def spilled_share(self, now: float) -> float:
         """Return the share (0..1) of the last window's requests that spilled over."""
         return self._spilled.count(now) / max(1, self._requests.count(now))
 
--- a/packages/node/src/plantainloft_node/placement/weighted_round_robin.py
+++ b/packages/node/src/plantainloft_node/placement/weighted_round_robin.py
@@ -1,7 +1,8 @@
 """Smooth weighted round robin: a traffic split holds even over a few requests.
 
 A random draw leaves a short window several per cent off its weights. Selecting
-by accumulated credit keeps each prefix within one request of its weight.
+by accumulated credit keeps each service's count, after any number of requests,
+within one request of its part.
 """
 
 from plantainloft_core.routes import WeightedService
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -135,7 +135,7 @@
     assert limiter.usage_report(1.0) == {}
 
 
-def test_uses_round_trip_through_a_report_largest_first() -> None:
+def test_usages_round_trip_through_a_report_largest_first() -> None:
     usage = {number: OrganisationUsage(number, number + 1) for number in range(200)}
     unpacked = decode_usage(encode_usage(usage))
     assert len(unpacked) == MAX_REPORTED_USAGES
@@ -147,24 +147,24 @@
 @given(
     wanted=st.lists(st.integers(0, 2000), min_size=1, max_size=60),
     allowance=st.floats(5.0, 5000.0),
-    silent=st.integers(0, 60),
+    unreachable=st.integers(0, 60),
 )
 def test_shares_add_up_to_at_most_the_allowance_and_headroom(
-    wanted: list[int], allowance: float, silent: int
+    wanted: list[int], allowance: float, unreachable: int
 ) -> None:
     """Unreachable instances hold equal shares, the others divide the remainder.
 
     All reachable instances have the same reports.
     """
-    size = FleetSize(len(wanted) + silent, len(wanted))
+    size = FleetSize(len(wanted) + unreachable, len(wanted))
     fleet = OrganisationUsage(sum(wanted), sum(wanted))
     shares = [
         DemandProportionalShares().share(LimitState(allowance, count, fleet), size)
         for count in wanted
     ]
-    held_by_silent = silent * allowance / size.known
+    held_by_unreachable = unreachable * allowance / size.known
     headroom = 0.0 if fleet.wanted >= allowance else len(wanted)
-    assert sum(shares) + held_by_silent <= allowance + headroom + 0.001
+    assert sum(shares) + held_by_unreachable <= allowance + headroom + 0.001
 
 
 def usual_flow(organisation: Organisation, **options: float) -> CallerFlow:
@@ -310,7 +310,7 @@
 
 FAULT_SEQUENCES = st.lists(
     st.tuples(
-        st.sampled_from(('cut', 'heal', 'restart', 'stop', 'wake')),
+        st.sampled_from(('cut', 'heal', 'restart', 'pause', 'resume')),
         st.integers(0, 11),
         st.floats(0.1, 2.0),
     ),
@@ -346,13 +346,13 @@
         partition.discard(name)
     elif fault == 'restart':
         model.start(name)
-    elif fault == 'stop':
+    elif fault == 'pause':
         model.instance_by_name[name].runs = False
     elif not model.instance_by_name[name].runs:
         model.resume(name)
 
 
-def test_reports_of_uses_fit_into_one_packet() -> None:
+def test_usage_reports_fit_into_one_datagram() -> None:
     flows = [
         CallerFlow(model_organisation(f'o{number}', rate=20, burst=20), 10.0)
         for number in range(73)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -107,7 +107,7 @@
 def spilled_of_100(
     placement: Placement, endpoint_registry: EndpointRegistry, at: float, *, full: int
 ) -> int:
-    """Place 100 requests with ``full`` queues of the own region full; count spilled ones."""
+    """Count the spilled of 100 requests while ``full`` endpoints of the own region are full."""
     for number in range(6):
         endpoint_registry.by_id[f'a{number}'].record_load_report(busy=8 * (number < full), now=at)
     choices = [
@@ -123,7 +123,7 @@
 ) -> None:
     """Too much traffic must not change its region at once when spillover ends.
 
-    At startup all objects are cold and endpoints are full, so requests spill over
+    At startup no object is cached and endpoints are full, so requests spill over
     to another region. When their own region had free slots two seconds later, all
     of them returned at once: 24 in 100 requests changed their region within two
     seconds, where 15 in 100 may. With a limit on the fall that ended after ten
@@ -382,7 +382,7 @@
 
     All endpoints are busy. The request has 0.5 s left, but requests queued at its
     endpoint are answered after 0.6 s. If it is queued, its caller waits until the
-    timeout without learning the outcome, and a slot works for nobody.
+    timeout without learning the outcome, and a slot is wasted on it.
     """
     for state in endpoint_registry.by_id.values():
         state.record_load_report(busy=4, now=NOW)
