--- a/packages/node/src/plantainloft_node/fleet/datagrams.py
+++ b/packages/node/src/plantainloft_node/fleet/datagrams.py
@@ -1,7 +1,8 @@
 """Packs reports into datagrams and parses datagrams with strict validation.
 
 A datagram carries the name of its sender, whether the sender wants reports in
-return, and reports: the sender's own and those that it forwards.
+return, and reports: the sender's own and those that it forwards. Fleet-wide usage
+of limits goes into a datagram of its own.
 """
 
 from collections.abc import Iterable, Mapping
@@ -38,10 +39,10 @@
 
 
 class PackedReport(NamedTuple):
-    """An encoded report; ``report_age_s`` is how long its forwarder has held it."""
+    """An encoded report; ``forwarder_held_s`` is how long its forwarder has held it."""
 
     packed: bytes
-    report_age_s: float
+    forwarder_held_s: float
 
 
 class ReceivedReport(NamedTuple):
@@ -49,7 +50,7 @@
 
     report: ZoneReport
     packed: bytes
-    report_age_s: float
+    forwarder_held_s: float
 
 
 class Datagram(NamedTuple):
@@ -100,9 +101,11 @@
         return None
 
 
-def _pack(sender: str, wants_reports: bool, batch: list[PackedReport], uses: bytes = b'') -> bytes:
+def _pack(
+    sender: str, wants_reports: bool, batch: list[PackedReport], packed_usage: bytes = b''
+) -> bytes:
     packed: bytes = msgpack.packb(
-        [FORMAT_VERSION, sender, wants_reports, [list(report) for report in batch], uses]
+        [FORMAT_VERSION, sender, wants_reports, [list(report) for report in batch], packed_usage]
     )
     return packed
 
@@ -110,14 +113,16 @@
 def _parse_datagram(raw: Any) -> Datagram:
     if raw[0] != FORMAT_VERSION:
         raise ValueError(f'format version {raw[0]!r} is not supported')
-    sender, wants_reports, items, uses = raw[1:]
+    sender, wants_reports, items, packed_usage = raw[1:]
     reports = tuple(
         ReceivedReport(
-            unpack_report(require_type(packed, bytes)), packed, require_non_negative(report_age_s)
+            unpack_report(require_type(packed, bytes)),
+            packed,
+            require_non_negative(forwarder_held_s),
         )
-        for packed, report_age_s in items
+        for packed, forwarder_held_s in items
     )
-    fleet_usage = decode_usage(require_type(uses, bytes))
+    fleet_usage = decode_usage(require_type(packed_usage, bytes))
     return Datagram(
         require_type(sender, str), require_type(wants_reports, bool), reports, fleet_usage
     )
--- a/packages/node/src/plantainloft_node/fleet/demand.py
+++ b/packages/node/src/plantainloft_node/fleet/demand.py
@@ -17,9 +17,11 @@
     'zone_usage',
 ]
 
-# Relays send fleet-wide usage twice a second.
+# Fleet-wide usage that a relay reported is current for this long. Relays send it
+# twice a second.
 FRESH_USAGE_S = 0.8
-# An instance that becomes a relay is no longer sent fleet-wide usage.
+# This long after the last reported usage, an instance's own sums count as current
+# instead: an instance that becomes a relay is no longer sent fleet-wide usage.
 REPORTED_USAGE_EXPIRY_S = 5.0
 
 
@@ -80,13 +82,13 @@
 
 
 def fleet_size(members: FleetMembership, now: float) -> FleetSize:
-    """Return how many instances share limits, and how many of them are reachable.
+    """Return how many instances share limits, and how many of them report.
 
-    An instance that receives no heartbeats counts only itself as reachable, even
+    An instance that receives no heartbeats counts only itself as reporting, even
     while the statuses of its peers have not expired yet.
     """
     counted = members.region_by_limit_sharer(now)
-    if members.heartbeats.newest_at() <= now - DOWN_AFTER_S:
+    if members.heartbeats.newest_received_at() <= now - DOWN_AFTER_S:
         return FleetSize(known=len(counted), reporting=bool(counted))
     up = sum(members.is_up(name, now) for name in counted)
     return FleetSize(known=len(counted), reporting=up + bool(counted))
--- a/packages/node/src/plantainloft_node/fleet/heartbeat_table.py
+++ b/packages/node/src/plantainloft_node/fleet/heartbeat_table.py
@@ -41,13 +41,13 @@
         """Remove the heartbeat of ``name``."""
         self._heartbeat_by_name.pop(name, None)
 
-    def at(self, name: str) -> float | None:
-        """Return when ``name`` last sent a heartbeat; ``None`` if never."""
+    def received_at(self, name: str) -> float | None:
+        """Return when the last heartbeat of ``name`` was received; ``None`` if never."""
         received = self._heartbeat_by_name.get(name)
         return None if received is None else received.at
 
-    def newest_at(self) -> float:
-        """Return when the last heartbeat of any instance was received."""
+    def newest_received_at(self) -> float:
+        """Return when the last heartbeat of any instance was received; ``-inf`` if never."""
         return max(
             (received.at for received in self._heartbeat_by_name.values()), default=float('-inf')
         )
--- a/packages/node/src/plantainloft_node/fleet/heartbeats.py
+++ b/packages/node/src/plantainloft_node/fleet/heartbeats.py
@@ -54,7 +54,7 @@
             crash_registry=crash_registry,
         )
         self._socket: UDPSocket | None = None
-        self._sending = anyio.Lock()
+        self._send_lock = anyio.Lock()
         self._round_requested = anyio.Event()
         self._previously_up: set[str] = set()
         self._malformed_logged_at = float('-inf')
@@ -101,7 +101,7 @@
         if self._socket is None:
             return
         try:
-            async with self._sending:
+            async with self._send_lock:
                 await self._socket.sendto(datagram.packed, host, int(port))
         except OSError as exc:
             log.debug('Fleet: could not send a datagram to %s: %s', datagram.address, exc)
--- a/packages/node/src/plantainloft_node/fleet/liveness.py
+++ b/packages/node/src/plantainloft_node/fleet/liveness.py
@@ -12,7 +12,7 @@
 
     ``at``: when a heartbeat was last received, here or by a peer. ``until``: when
     the instance counts as down without a newer one. ``since``: start of the
-    current uninterrupted time up.
+    current uninterrupted uptime.
     """
 
     ready: bool
@@ -38,8 +38,8 @@
         was_up = now < known.until
         newest = reported if reported.at >= known.at else known
         self._liveness_by_name[name] = newest._replace(
-            # Draining is never revoked. Of two peers that report the instance,
-            # the one that has not learned of it yet would bring callers back.
+            # Draining is never revoked: a later report from a peer that does not
+            # know of it yet would bring callers back.
             draining=reported.draining or known.draining,
             until=max(reported.until, known.until),
             since=known.since if was_up else reported.at,
--- a/packages/node/src/plantainloft_node/fleet/membership.py
+++ b/packages/node/src/plantainloft_node/fleet/membership.py
@@ -172,7 +172,7 @@
         name = self.registry.name_of(status.key)
         at = sent_at - status.age_s
         # An expired status says nothing about the present. Recording it would
-        # interrupt the time up.
+        # interrupt the uptime.
         if name is None or name == self.local_member.name or at + timeout_s <= now:
             return
         until = at + timeout_s
--- a/packages/node/src/plantainloft_node/fleet/relay_selection.py
+++ b/packages/node/src/plantainloft_node/fleet/relay_selection.py
@@ -21,8 +21,8 @@
 # Relays per availability zone. With two, one may be lost, slow or partitioned
 # without effect.
 RELAYS_PER_ZONE = 2
-# Additional instances that receive reports while relays are unresponsive.
-STANDBYS = 2
+# The most additional instances that receive reports while relays are unresponsive.
+MAX_STANDBYS = 2
 # Two reports in a row are missing.
 UNRESPONSIVE_AFTER_S = 1.2
 
@@ -32,8 +32,9 @@
 ) -> list[FleetMember]:
     """Return the relays of ``zone``: its highest ranked instances.
 
-    Only instances that are up and not draining are considered. This instance
-    always counts as one of them, and is a relay if it is alone in its zone.
+    Only instances that are up and not draining are considered. This instance,
+    if it is in ``zone``, always counts as one of them, so it is a relay if it is
+    alone there.
     """
     return ranked_members(zone, members, now)[:RELAYS_PER_ZONE]
 
@@ -44,13 +45,13 @@
     """Return the instances of its own zone that this instance sends reports to.
 
     These are the relays, and the next in rank for each relay that has become
-    unresponsive. If both relays were lost at once and the next ones were asked
+    unresponsive. If both relays were lost at once and the next ones got reports
     only after the relays count as down, this instance would know of no others in
     its zone until the next ones answer.
     """
     targets: list[FleetMember] = []
     responsive = 0
-    for member in ranked_members(zone, members, now)[: RELAYS_PER_ZONE + STANDBYS]:
+    for member in ranked_members(zone, members, now)[: RELAYS_PER_ZONE + MAX_STANDBYS]:
         if responsive < RELAYS_PER_ZONE:
             targets.append(member)
             responsive += member == members.local_member or is_responsive(member, members, now)
@@ -89,8 +90,8 @@
 
 def is_responsive(member: FleetMember, members: FleetMembership, now: float) -> bool:
     """Return whether ``member`` has recently sent a heartbeat to this instance."""
-    heard_at = members.heartbeats.at(member.name)
-    return heard_at is not None and now - heard_at < UNRESPONSIVE_AFTER_S
+    received_at = members.heartbeats.received_at(member.name)
+    return received_at is not None and now - received_at < UNRESPONSIVE_AFTER_S
 
 
 def _is_up_and_not_draining(member: FleetMember, members: FleetMembership, now: float) -> bool:
--- a/packages/node/src/plantainloft_node/fleet/report_codec.py
+++ b/packages/node/src/plantainloft_node/fleet/report_codec.py
@@ -12,14 +12,17 @@
 
 __all__ = ['DECODE_ERRORS', 'pack_report', 'require_non_negative', 'require_type', 'unpack_report']
 
-MAX_INTRODUCED = 64
+# Reports with more introduced instances are rejected.
+MAX_INTRODUCED_READ = 64
 # Exceptions raised by decoding bytes that are not a valid report.
 DECODE_ERRORS = (ValueError, TypeError, IndexError, msgpack.UnpackException, struct.error)
+# Key, flags, and age in tenths of a second.
 _STATUS_STRUCT = struct.Struct('<IBB')
 _READY_FLAG = 1
 _DRAINING_FLAG = 2
 _POLLS_STORE_FLAG = 4
 _TENTHS_PER_SECOND = 10
+# The age is sent as one byte.
 _MAX_AGE_TENTHS = 255
 
 
@@ -43,11 +46,11 @@
 
 def unpack_report(packed: bytes) -> ZoneReport:
     """Decode ``packed``; raises one of ``DECODE_ERRORS``."""
-    sequence, raw_heartbeat, zone_rates, lists = msgpack.unpackb(packed)
-    statuses, introduced, crashes, uses = lists
-    if len(introduced) > MAX_INTRODUCED:
+    sequence, raw_heartbeat, zone_rates, remaining_fields = msgpack.unpackb(packed)
+    statuses, introduced, crashes, packed_usage = remaining_fields
+    if len(introduced) > MAX_INTRODUCED_READ:
         raise ValueError(
-            f'at most {MAX_INTRODUCED} introduced instances expected, got {len(introduced)}'
+            f'at most {MAX_INTRODUCED_READ} introduced instances expected, got {len(introduced)}'
         )
     return ZoneReport(
         sequence=require_type(sequence, int),
@@ -56,7 +59,7 @@
         statuses=tuple(_parse_statuses(require_type(statuses, bytes))),
         introduced=tuple(_parse_member(member) for member in introduced),
         crashes=unpack_crashes(require_type(crashes, bytes)),
-        zone_usage_by_organisation=decode_usage(require_type(uses, bytes)),
+        zone_usage_by_organisation=decode_usage(require_type(packed_usage, bytes)),
     )
 
 
@@ -66,7 +69,7 @@
     newest_version_by_table: Any,
     rates: Any,
     available_for_s: Any,
-    uses: Any,
+    packed_usage: Any,
 ) -> Heartbeat:
     ready, draining, polls_store = (require_type(flag, bool) for flag in flags)
     return Heartbeat(
@@ -82,7 +85,7 @@
         store_available_for_s=None
         if available_for_s is None
         else require_non_negative(available_for_s),
-        usage_by_organisation=decode_usage(require_type(uses, bytes)),
+        usage_by_organisation=decode_usage(require_type(packed_usage, bytes)),
     )
 
 
@@ -118,14 +121,14 @@
 def _heartbeat_fields(heartbeat: Heartbeat) -> list[Any]:
     rates = _rounded(heartbeat.rate_by_service)
     flags = [heartbeat.ready, heartbeat.draining, heartbeat.polls_store]
-    uses = encode_usage(heartbeat.usage_by_organisation)
+    packed_usage = encode_usage(heartbeat.usage_by_organisation)
     return [
         list(heartbeat.member),
         flags,
         heartbeat.newest_version_by_table,
         rates,
         heartbeat.store_available_for_s,
-        uses,
+        packed_usage,
     ]
 
 
--- a/packages/node/src/plantainloft_node/fleet/report_planner.py
+++ b/packages/node/src/plantainloft_node/fleet/report_planner.py
@@ -4,9 +4,9 @@
 grow with the fleet and the total with its square; at hundreds of instances this
 would take most of the processor time. Instead, an instance reports to the two
 relays of its availability zone, which are the same for all instances with the
-same view of the membership. A relay reports the instances that it hears from to
-all instances that report to it, exchanges reports with the relays of the other
-availability zones, and forwards those reports within its own zone.
+same view of the membership. A relay reports the instances that send it
+heartbeats to all instances that report to it, exchanges reports with the relays
+of the other availability zones, and forwards those reports within its own zone.
 
 There is no election: any instance that receives a report answers it, and all
 instances report to the highest ranked ones. A relay that stays silent counts as
@@ -97,33 +97,35 @@
         is_relay = self._members.local_member in relays
         subscribers = self._report_receiver.subscribers(now)
         own = self._own_report(now, is_full=is_relay or bool(subscribers))
-        targets = [member.heartbeat_address for member in report_targets(zone, self._members, now)]
+        addresses = [
+            member.heartbeat_address for member in report_targets(zone, self._members, now)
+        ]
         if is_relay:
-            targets += self._members_to_probe(zone, now)
+            addresses += self._addresses_to_probe(zone, now)
         if not self._members.peers_up(now):
-            targets += self._seeds
+            addresses += self._seeds
         # The other relay gets the reports of other zones from their senders, so
-        # they are forwarded to subscribers that are not relays. An instance that
-        # is not a relay but receives reports from other zones forwards them to the
-        # relays: the senders may not know the relays yet and would never send to
-        # them.
-        non_relay_subscribers = [
+        # a relay forwards them only to subscribers that are not relays. An instance
+        # that is not a relay but receives reports from other zones forwards them to
+        # the relays: the senders may not know the relays yet and would never send
+        # to them.
+        non_relay_addresses = [
             member.heartbeat_address for member in subscribers if member not in relays
         ]
         forwarded = (
             []
-            if is_relay and not non_relay_subscribers
+            if is_relay and not non_relay_addresses
             else self._report_receiver.reports_to_forward(now)
         )
         reports = [own] if is_relay else [own, *forwarded]
-        datagrams = self._datagrams(reports, targets, wants_reports=True)
-        if non_relay_subscribers:
-            datagrams += self._subscriber_datagrams([own, *forwarded], non_relay_subscribers, now)
+        datagrams = self._datagrams(reports, addresses, wants_reports=True)
+        if non_relay_addresses:
+            datagrams += self._subscriber_datagrams([own, *forwarded], non_relay_addresses, now)
         if is_relay:
-            remote_targets = self._remote_targets(
+            remote_addresses = self._remote_addresses(
                 members_by_zone.values(), now, include_not_due=include_not_due
             )
-            datagrams += self._datagrams([own], remote_targets, wants_reports=False)
+            datagrams += self._datagrams([own], remote_addresses, wants_reports=False)
         return datagrams
 
     def datagrams_for_subscribers(self, now: float) -> list[OutgoingDatagram]:
@@ -131,15 +133,15 @@
         relays = zone_relays(
             self._members.registry.by_zone()[self._members.local_member.zone], self._members, now
         )
-        non_relay_subscribers = [
+        non_relay_addresses = [
             member.heartbeat_address
             for member in self._report_receiver.subscribers(now)
             if member not in relays
         ]
-        if not non_relay_subscribers:
+        if not non_relay_addresses:
             return []
         return self._subscriber_datagrams(
-            [self._own_report(now, is_full=True)], non_relay_subscribers, now
+            [self._own_report(now, is_full=True)], non_relay_addresses, now
         )
 
     def _own_report(self, now: float, *, is_full: bool) -> PackedReport:
@@ -163,15 +165,15 @@
             self._rng.sample(recently_joined, min(MAX_INTRODUCED_PER_REPORT, len(recently_joined)))
         )
 
-    def _members_to_probe(self, zone: list[FleetMember], now: float) -> list[str]:
+    def _addresses_to_probe(self, zone: list[FleetMember], now: float) -> list[str]:
         """Return the address of one random instance of this zone that is not up.
 
-        After a partition inside the zone each side has its own relays and hears
+        After a partition inside the zone each side has its own relays and learns
         of no other instances. Without these probes the sides would never merge.
         """
         return self._sample_addresses(down_members(zone, self._members, now), count=1)
 
-    def _remote_targets(
+    def _remote_addresses(
         self, zones: Iterable[list[FleetMember]], now: float, *, include_not_due: bool
     ) -> list[str]:
         is_cross_region_due = (
@@ -180,13 +182,13 @@
         )
         if is_cross_region_due:
             self._cross_region_sent_at = now
-        targets: list[str] = []
+        addresses: list[str] = []
         for zone in zones:
             if is_cross_region_due or zone[0].region == self._members.local_member.region:
-                targets += self._remote_zone_targets(zone, now)
-        return targets
+                addresses += self._remote_zone_addresses(zone, now)
+        return addresses
 
-    def _remote_zone_targets(self, zone: list[FleetMember], now: float) -> list[str]:
+    def _remote_zone_addresses(self, zone: list[FleetMember], now: float) -> list[str]:
         relays = zone_relays(zone, self._members, now)
         if relays:
             return [member.heartbeat_address for member in relays]
@@ -199,7 +201,7 @@
         return [member.heartbeat_address for member in sample]
 
     def _subscriber_datagrams(
-        self, reports: list[PackedReport], subscribers: Iterable[str], now: float
+        self, reports: list[PackedReport], addresses: Iterable[str], now: float
     ) -> list[OutgoingDatagram]:
         # Reports of other zones reach subscribers late, so each round includes
         # the fleet-wide usage.
@@ -209,7 +211,7 @@
         )
         return [
             OutgoingDatagram(address, packed)
-            for address in subscribers
+            for address in addresses
             for packed in packed_datagrams
         ]
 
--- a/packages/node/src/plantainloft_node/fleet/report_receiver.py
+++ b/packages/node/src/plantainloft_node/fleet/report_receiver.py
@@ -85,8 +85,10 @@
             elif self._is_sent_from(datagram.sender, host) and self._accept_if_newer(
                 item.report, now
             ):
-                hints += self._apply_forwarded(item.report, datagram.sender, item.report_age_s, now)
-                is_urgent |= self._merge_crashes(item.report, item.report_age_s, now)
+                hints += self._apply_forwarded(
+                    item.report, datagram.sender, item.forwarder_held_s, now
+                )
+                is_urgent |= self._merge_crashes(item.report, item.forwarder_held_s, now)
         return ReceiveResult(tuple(hints), is_urgent)
 
     def subscribers(self, now: float) -> list[FleetMember]:
@@ -119,9 +121,9 @@
         """Apply a report that its sender sent directly; return whether it is urgent."""
         member = report.heartbeat.member
         was_draining = self._members.liveness.is_draining(member.name)
-        fresh = self._members.record_heartbeat(report.heartbeat, now)
+        was_unknown_or_down = self._members.record_heartbeat(report.heartbeat, now)
         self._members.apply_report(report, now, forwarder_held_s=None)
-        if fresh:
+        if was_unknown_or_down:
             self._joined_at_by_name[member.name] = now
         if datagram.wants_reports:
             self._subscribed_at_by_name[member.name] = now
@@ -129,25 +131,27 @@
             is_other_region = member.region != self._members.local_member.region
             self._pending_by_zone[member.zone] = _PendingReport(packed, now, is_other_region)
         starts_draining = report.heartbeat.draining and not was_draining
-        return datagram.wants_reports and (fresh or starts_draining)
+        return datagram.wants_reports and (was_unknown_or_down or starts_draining)
 
     def _merge_crashes(self, report: ZoneReport, report_age_s: float, now: float) -> bool:
         """Merge reported crashes; return whether subscribers need them without delay."""
-        is_news = self._crash_registry.merge(report.crashes, now, report_age_s=report_age_s)
-        return is_news and bool(self.subscribers(now))
+        is_urgent = self._crash_registry.merge(report.crashes, now, report_age_s=report_age_s)
+        return is_urgent and bool(self.subscribers(now))
 
     def _apply_forwarded(
-        self, report: ZoneReport, sender: str, report_age_s: float, now: float
+        self, report: ZoneReport, sender: str, forwarder_held_s: float, now: float
     ) -> list[UpdateHint]:
-        self._members.apply_report(report, now, forwarder_held_s=report_age_s)
+        self._members.apply_report(report, now, forwarder_held_s=forwarder_held_s)
         return [
             UpdateHint(member, {}, _status_keys(report)) for member in self._known_members([sender])
         ]
 
     def _hint(self, report: ZoneReport) -> UpdateHint:
         heartbeat = report.heartbeat
-        relays = heartbeat.member.zone == self._members.local_member.zone and bool(report.statuses)
-        relay_heartbeat = heartbeat if relays else None
+        is_own_relay = heartbeat.member.zone == self._members.local_member.zone and bool(
+            report.statuses
+        )
+        relay_heartbeat = heartbeat if is_own_relay else None
         return UpdateHint(
             heartbeat.member,
             heartbeat.newest_version_by_table,
--- a/packages/node/src/plantainloft_node/fleet/reports.py
+++ b/packages/node/src/plantainloft_node/fleet/reports.py
@@ -51,7 +51,10 @@
 
 
 class MemberStatus(NamedTuple):
-    """The status of an instance, from the heartbeat that was received ``age_s`` ago."""
+    """The status of an instance, from the heartbeat that was received ``age_s`` ago.
+
+    ``key`` is the ``member_key`` of the instance.
+    """
 
     key: int
     ready: bool
@@ -71,7 +74,7 @@
 
     ``introduced`` has the full records of instances that have just joined, so that
     receivers need not look up their keys. ``crashes`` are the endpoint crashes
-    during requests that the sender knows of.
+    during requests, as far as the sender knows of them.
     """
 
     sequence: int
--- a/packages/node/src/plantainloft_node/replica/routing_state.py
+++ b/packages/node/src/plantainloft_node/replica/routing_state.py
@@ -58,7 +58,7 @@
                 self._apply(change, row, now, source)
 
     def expire_grace_periods(self, now: float) -> None:
-        """Drop endpoints in grace whose rows have not come back or cannot have expired."""
+        """Drop endpoints whose grace period is over or whose rows cannot have expired."""
         rows_may_have_expired = self.store_availability.may_have_expired(now)
         for endpoint_id, until in list(self._grace_until_by_id.items()):
             if now >= until or not rows_may_have_expired:
--- a/packages/node/src/plantainloft_node/replica/store_availability.py
+++ b/packages/node/src/plantainloft_node/replica/store_availability.py
@@ -25,7 +25,7 @@
 PEER_REPORT_TIMEOUT_S = 1.8
 
 
-class _PeerUptime(NamedTuple):
+class _ReportedStoreUptime(NamedTuple):
     """How long the store had been available at ``at``, as reported by a peer."""
 
     available_for_s: float | None
@@ -54,7 +54,7 @@
         self._recovered_at: float | None = None
         self._answered_at: deque[float] = deque(maxlen=MAX_ANSWER_TIMES)
         self._peer_check_requested = anyio.Event()
-        self._uptime_by_peer: dict[str, _PeerUptime] = {}
+        self._store_uptime_by_peer: dict[str, _ReportedStoreUptime] = {}
 
     def record_answer(self, *, sent_at: float, now: float) -> None:
         """Record an answer: the store was available at ``sent_at`` and at ``now``.
@@ -84,9 +84,9 @@
 
         The report covers the time up to ``asked_at``; failures after that stand.
         """
-        for name, reported in self._uptime_by_peer.items():
+        for name, reported in self._store_uptime_by_peer.items():
             if reported.at <= asked_at:
-                self._uptime_by_peer[name] = _PeerUptime(0.0, since)
+                self._store_uptime_by_peer[name] = _ReportedStoreUptime(0.0, since)
         if self._outage_at is not None and self._outage_at <= asked_at:
             self._recovered_at = _earliest(self._recovered_at, since)
 
@@ -97,10 +97,13 @@
         makes no calls that could fail. Without these reports, it would treat rows
         that expired in an outage as those of endpoints that left.
         """
-        self._uptime_by_peer[name] = _PeerUptime(available_for_s, now)
+        self._store_uptime_by_peer[name] = _ReportedStoreUptime(available_for_s, now)
 
     def request_peer_check(self) -> None:
-        """Request that peers be asked: rows were removed while the pollers lost the store."""
+        """Request that peers be asked whether the store is available to them.
+
+        Rows were removed while it is unavailable to the instances that poll it.
+        """
         self._peer_check_requested.set()
 
     async def wait_for_failure(self) -> None:
@@ -124,7 +127,7 @@
 
         Infinite if no call has ever failed.
         """
-        reported = (uptime.uptime_s_at(now) for uptime in self._uptime_by_peer.values())
+        reported = (uptime.uptime_s_at(now) for uptime in self._store_uptime_by_peer.values())
         available = [self._own_uptime_s(now), *reported]
         known = [available_for_s for available_for_s in available if available_for_s is not None]
         return min(known) if len(known) == len(available) else None
--- a/packages/node/src/plantainloft_node/replica/store_rows.py
+++ b/packages/node/src/plantainloft_node/replica/store_rows.py
@@ -1,7 +1,7 @@
 """Rows of the platform's tables, the changes they decode to, and the store interface.
 
 Instances poll two tables of the store, the operator's declarations and the
-endpoints, and maintain a table of the instances themselves.
+endpoints, and maintain two more, the instances themselves and the quarantine.
 """
 
 from abc import ABC, abstractmethod
@@ -128,7 +128,7 @@
     async def replace_row(self, row: StoreRow, content: bytes) -> bool | Unreachable:
         """Replace the content of ``row`` if its version is unchanged.
 
-        Returns whether it was.
+        Returns whether it was replaced.
         """
 
     @abstractmethod
--- a/packages/node/src/plantainloft_node/replica/table_poller.py
+++ b/packages/node/src/plantainloft_node/replica/table_poller.py
@@ -78,7 +78,7 @@
 
     @property
     def has_initial_listing(self) -> bool:
-        """Whether the whole table was read since the start or the last lost history."""
+        """Whether the whole table was read since the start or the last loss of history."""
         return self._last_version is not None
 
     async def _poll(self) -> None:
@@ -102,7 +102,7 @@
         self._routing_state.store_availability.record_answer(sent_at=sent_at, now=now)
         if not self.is_connected:
             self.is_connected = True
-            log.info('Store: following %s again.', self._table, extra={'kind': 'store_regained'})
+            log.info('Store: following %s.', self._table, extra={'kind': 'store_regained'})
         self.last_answer_at = now
         self._backoff_s = BACKOFF_MIN_S
         if isinstance(outcome, HistoryLost):
@@ -124,7 +124,7 @@
     def _current_poll_wait_s(self) -> float:
         # An unresponsive store drops the calls that it receives. A long poll sent
         # during an outage times out only seconds after the outage, and until then
-        # the recovery goes unnoticed. So polls do not wait while out of touch.
+        # the recovery goes unnoticed. So polls do not wait while disconnected.
         return (
             self._long_poll_wait_s()
             if self.is_connected and self._last_version is not None
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -23,8 +23,8 @@
 LARGE = FleetShape(zones=3, instances=22)
 LARGER = FleetShape(zones=3, instances=33)
 
-# What the users allow for an instance that is gone: its region's callers wait a
-# second for it, and no look-up may name it later than the second time.
+# How long the users allow an instance that is gone to count as up: in its own
+# region, whose callers wait a second for it, and anywhere in a look-up.
 SAME_REGION_DETECTION_S = 3.5
 DETECTION_S = 7.0
 SETTLED_S = 10.0
@@ -154,12 +154,12 @@
     model = settled(MEDIUM)
     lost = relays_of(model, 'r0-z0')
     stop(model, *lost)
-    left = [name for name in model.running() if name.startswith('r0-z0')]
+    remaining = [name for name in model.running() if name.startswith('r0-z0')]
     for _ in range(24):
         model.run_for(0.25)
-        for name in left:
-            assert set(left) <= model.up_at(name)
-    assert model.disagreeing(left) == {}
+        for name in remaining:
+            assert set(remaining) <= model.up_at(name)
+    assert model.disagreeing(remaining) == {}
     model.run_for(DETECTION_S - 6)
     assert model.disagreeing() == {}
 
@@ -212,8 +212,8 @@
         one.zone == other.zone or {one.zone, other.zone} != disconnected
     )
     model.run_for(DETECTION_S)
-    between = [name for name in model.running() if not name.startswith('r0')]
-    assert model.disagreeing(between) == {}
+    outside = [name for name in model.running() if not name.startswith('r0')]
+    assert model.disagreeing(outside) == {}
 
 
 def test_all_restart_at_once(settled: Settled) -> None:
@@ -273,7 +273,7 @@
     names = sorted(model.instance_by_name)
     for _ in range(30):
         targets = rng.sample(names, rng.choice((1, 1, 2, 8)))
-        fault = rng.choice(('stop', 'start', 'wake', 'cut', 'heal'))
+        fault = rng.choice(('stop', 'start', 'resume', 'cut', 'heal'))
         if fault == 'stop':
             stop(model, *targets)
         elif fault == 'cut':
