--- a/packages/node/src/plantainloft_node/engine/__init__.py
+++ b/packages/node/src/plantainloft_node/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP forwarding engine: connections of callers and to endpoints, and retries."""
+"""The HTTP forwarding engine: connections from callers, connections to endpoints, and retries."""
--- a/packages/node/src/plantainloft_node/engine/attempts.py
+++ b/packages/node/src/plantainloft_node/engine/attempts.py
@@ -79,8 +79,9 @@
 
     ``load`` is the estimated number of requests at the endpoint, ``rank`` is 0 for
     the first choice of the affinity key, ``served_key_recently`` tells whether the
-    endpoint recently served that key, and ``delay_s`` is the time from receiving
-    the request to sending it.
+    endpoint recently served that key, ``cold`` whether the rate limit of cold
+    endpoints applied to it, and ``delay_s`` is the time from receiving the request to
+    sending it.
     """
 
     endpoint_id: str
--- a/packages/node/src/plantainloft_node/engine/caller_connection.py
+++ b/packages/node/src/plantainloft_node/engine/caller_connection.py
@@ -104,12 +104,13 @@
         # group, which no handler above catches: the process would end.
         try:
             await self._read_requests(tasks)
-        except DISCONNECT_ERRORS:
-            log.debug('Caller: connection closed.')
+        except DISCONNECT_ERRORS as exc:
+            log.debug('Caller: connection ended: %s.', type(exc).__name__)
 
     async def _read_requests(self, tasks: TaskGroup) -> None:
         self._protocol = self._new_protocol(b'')
-        self._current: Exchange | None = None
+        # The exchange whose request body is being read.
+        self._reading_exchange: Exchange | None = None
         more = True
         while more:
             try:
@@ -121,23 +122,23 @@
 
     async def _handle_event(self, event: object, tasks: TaskGroup) -> bool:
         """Handle one protocol event; return whether to read on."""
-        current = self._current
+        exchange = self._reading_exchange
         if event is h11.NEED_DATA:
-            return await self._read_more(self._protocol, started=current is not None)
+            return await self._read_more(self._protocol, started=exchange is not None)
         if isinstance(event, h11.Request):
             if _head_size(event) > self._handler.limits().max_header_bytes:
                 await self._reject_request(self._protocol, _HEAD_TOO_LARGE)
                 return False
-            self._current = await self._start_exchange(self._protocol, event, tasks)
+            self._reading_exchange = await self._start_exchange(self._protocol, event, tasks)
             return True
-        if current is None:
+        if exchange is None:
             return False
         if isinstance(event, h11.Data):
-            return await self._handle_body_chunk(current, bytes(event.data))
+            return await self._handle_body_chunk(exchange, bytes(event.data))
         if not isinstance(event, h11.EndOfMessage):
             return False
-        current.body.finish()
-        self._current = None
+        exchange.body.finish()
+        self._reading_exchange = None
         self._protocol = self._new_protocol(self._protocol.trailing_data[0])
         return True
 
@@ -221,9 +222,13 @@
             self._read_scope.cancel()
 
     async def _reject_request(self, protocol: h11.Connection, status: int) -> None:
-        """Reject a malformed request, after the responses to all earlier ones."""
+        """Reject a request, after the responses to all earlier ones.
+
+        It is malformed, has too large a head or arrives too slowly.
+        """
         log.info(
-            'Caller: invalid HTTP request.',
+            'Caller: request rejected with status %d.',
+            status,
             extra={'kind': 'improper', 'fields': {'status': status}},
         )
         self.close_requested = True
@@ -239,5 +244,5 @@
 
 def _head_size(head: h11.Request) -> int:
     # h11 enforces its own limit only on heads that arrive in several reads.
-    listed = sum(len(key) + len(value) for key, value in head.headers)
-    return len(head.target) + listed
+    headers_size = sum(len(key) + len(value) for key, value in head.headers)
+    return len(head.target) + headers_size
--- a/packages/node/src/plantainloft_node/engine/connection_pool.py
+++ b/packages/node/src/plantainloft_node/engine/connection_pool.py
@@ -12,7 +12,10 @@
 
 
 class ConnectionPool:
-    """Idle connections by endpoint incarnation, most recently used first."""
+    """Idle connections by endpoint incarnation; the most recently used is taken first.
+
+    ``HttpClient`` uses the addresses of its servers in place of incarnations.
+    """
 
     def __init__(self) -> None:
         self._idle_by_incarnation: dict[str, list[UpstreamConnection]] = {}
--- a/packages/node/src/plantainloft_node/engine/dispatcher.py
+++ b/packages/node/src/plantainloft_node/engine/dispatcher.py
@@ -46,6 +46,7 @@
 MS_PER_S = 1000.0
 # Failed connection attempts after which a request is refused.
 MAX_CONNECT_FAILURES = 3
+# Misdirected attempts of a request beyond which it is not retried.
 MAX_MISDIRECTED = 2
 # Bounds of Retry-After: about the time in which endpoints finish their current
 # requests, with jitter so that refused callers do not all retry at once.
@@ -176,7 +177,7 @@
             return refusal_with_retry_after(selection.reason)
         self._placement.record_sent(selection.endpoint, now)
         endpoint_request = self._build_endpoint_request(
-            admitted, selection, now, strip_key=route_table.requires_keys
+            admitted, selection, now, strip_organisation_key=route_table.requires_keys
         )
         may_have_run_before = attempts.may_have_run
         attempts.may_have_run = True
@@ -195,7 +196,8 @@
     def _note_answered(
         self, admitted: AdmittedRequest, selection: Selection, outcome: Answered, attempts: Attempts
     ) -> None:
-        # A 5xx may only report a deadline that passed before the run reached its crash.
+        # A 5xx does not show that the request is harmless: it may report a deadline that
+        # passed before the run reached the point at which it crashes the endpoint.
         if outcome.head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             return
         if outcome.body_source is None:
@@ -217,7 +219,12 @@
             attempt = self._endpoint_attempt(admitted, selection)
             fields['fingerprint'] = str(attempt.fingerprint)
             self._crash_detector.check_after_disconnect(attempt)
-        log.info('Front: attempt failed.', extra={'kind': 'try', 'fields': fields})
+        log.info(
+            'Front: attempt at endpoint %s failed: %s.',
+            selection.endpoint.record.id,
+            outcome.reason,
+            extra={'kind': 'try', 'fields': fields},
+        )
 
     def _endpoint_attempt(self, admitted: AdmittedRequest, selection: Selection) -> EndpointAttempt:
         record = selection.endpoint.record
@@ -285,12 +292,17 @@
         )
 
     def _build_endpoint_request(
-        self, admitted: AdmittedRequest, selection: Selection, now: float, *, strip_key: bool
+        self,
+        admitted: AdmittedRequest,
+        selection: Selection,
+        now: float,
+        *,
+        strip_organisation_key: bool,
     ) -> EndpointRequest:
         names = self._names
         exchange = admitted.exchange
         replaced_headers = frozenset((names.timeout_ms, names.target_endpoint, names.organisation))
-        if strip_key:
+        if strip_organisation_key:
             replaced_headers |= {names.organisation_key}
         if admitted.body_complete and exchange.header(b'transfer-encoding'):
             replaced_headers |= {b'content-length'}
--- a/packages/node/src/plantainloft_node/engine/forwarding_handler.py
+++ b/packages/node/src/plantainloft_node/engine/forwarding_handler.py
@@ -29,9 +29,9 @@
 __all__ = ['ForwardingHandler']
 
 MS_PER_S = 1000.0
-DEFAULT_DEADLINE_S = 30.0
-# Without a configuration: the first rows arrive within one or two beats, the rounds in
-# which instances report to each other.
+DEFAULT_TIMEOUT_S = 30.0
+# Without a configuration: its first rows arrive within one or two rounds of heartbeats,
+# in which instances report to each other.
 NO_CONFIGURATION_RETRY_S = 0.5
 
 
@@ -114,8 +114,10 @@
         organisation: Organisation | None,
     ) -> None:
         deadline = exchange.received_at + min(self._requested_timeout_s(exchange), route.timeout_s)
-        name = organisation.name if organisation else ''
-        context = RequestContext(self._affinity_key(exchange), route_table.version, name)
+        organisation_name = organisation.name if organisation else ''
+        context = RequestContext(
+            self._affinity_key(exchange), route_table.version, organisation_name
+        )
         attempts = Attempts(context=context)
         outcome: Answered | Refusal | Failed | Blocked | None = None
         cancelled = anyio.get_cancelled_exc_class()
@@ -165,7 +167,7 @@
     def _requested_timeout_s(self, exchange: Exchange) -> float:
         raw = exchange.header(self._names.timeout_ms)
         if raw is None or not raw.strip().isdigit():
-            return DEFAULT_DEADLINE_S
+            return DEFAULT_TIMEOUT_S
         return int(raw) / MS_PER_S
 
     def _affinity_key(self, exchange: Exchange) -> str:
--- a/packages/node/src/plantainloft_node/engine/headers.py
+++ b/packages/node/src/plantainloft_node/engine/headers.py
@@ -49,7 +49,9 @@
 
     Headers listed in ``Connection`` are hop-by-hop as well.
     """
-    listed = [value for key, value in headers if key == b'connection']
-    named = frozenset(token.strip().lower() for value in listed for token in value.split(b','))
-    dropped = HOP_BY_HOP_HEADERS | named | exclude
+    connection_values = [value for key, value in headers if key == b'connection']
+    listed_names = frozenset(
+        token.strip().lower() for value in connection_values for token in value.split(b',')
+    )
+    dropped = HOP_BY_HOP_HEADERS | listed_names | exclude
     return [(key, value) for key, value in headers if key not in dropped]
--- a/packages/node/src/plantainloft_node/engine/http_client.py
+++ b/packages/node/src/plantainloft_node/engine/http_client.py
@@ -39,7 +39,10 @@
     async def send(
         self, address: str, request: UpstreamRequest
     ) -> BufferedResponse | NotSent | Failed:
-        """Return the response, or whether the request may have arrived."""
+        """Return the response; without one, whether the request may have arrived.
+
+        ``NotSent``: it has not; ``Failed``: it may have.
+        """
         connection = await self._pool.acquire(address, anyio.current_time())
         if connection is None:
             try:
--- a/packages/node/src/plantainloft_node/engine/request_body.py
+++ b/packages/node/src/plantainloft_node/engine/request_body.py
@@ -59,7 +59,10 @@
             return b''
 
     async def read_replayable(self) -> tuple[bytes, bool]:
-        """Read up to ``MAX_REPLAYABLE_BYTES``; return them and whether the body is complete."""
+        """Read until the body ends or exceeds ``MAX_REPLAYABLE_BYTES``.
+
+        Returns the bytes read, and whether they are the complete body.
+        """
         chunks: list[bytes] = []
         size = 0
         while size <= MAX_REPLAYABLE_BYTES:
--- a/packages/node/src/plantainloft_node/engine/responses.py
+++ b/packages/node/src/plantainloft_node/engine/responses.py
@@ -51,7 +51,12 @@
         record_outcome: Callable[[str, str, float], None],
         on_streamed: StreamObserver,
     ) -> None:
-        """``on_streamed`` is told how each streamed response ended."""
+        """Set up the sender.
+
+        ``record_outcome`` is called with the name of the route, the outcome and the
+        seconds since the request was received, ``on_streamed`` when a streamed response
+        has ended.
+        """
         self._names = names
         self._on_streamed = on_streamed
         self._record_outcome = record_outcome
@@ -216,8 +221,8 @@
         await exchange.respond(status, self._request_id_headers(exchange))
 
     def _request_id_headers(self, exchange: Exchange) -> Headers:
-        request_id = exchange.header(self._names.request_id)
-        return [(self._names.request_id, request_id)] if request_id else []
+        encoded_id = exchange.header(self._names.request_id)
+        return [(self._names.request_id, encoded_id)] if encoded_id else []
 
     def _log_outcome(self, exchange: Exchange, kind: str, fields: dict[str, object]) -> None:
         log.info(
--- a/packages/node/src/plantainloft_node/engine/sender.py
+++ b/packages/node/src/plantainloft_node/engine/sender.py
@@ -140,8 +140,8 @@
         if streamed_body is None:
             return await self._read_response(state, connection)
         outcome: AttemptOutcome = Failed(reason='no response')
-        # The task group would wrap them in an exception group, which no handler above
-        # catches: the process would end.
+        # Collected here because the task group would wrap them in an exception group,
+        # which no handler above catches: the process would end.
         failures: list[Exception] = []
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_stream_body, connection, streamed_body, failures, tasks.cancel_scope)
@@ -175,6 +175,7 @@
         )
 
     def _check_head(self, head: ResponseHead) -> AttemptOutcome | None:
+        """Return the outcome if the head shows that the response must not be forwarded."""
         if head.status == _MISDIRECTED:
             return NotRun(reason='address belongs to another incarnation', misdirected=True)
         if find_header(head.headers, self._names.not_run) is not None:
@@ -260,7 +261,7 @@
         read_scope.cancel()
     except CONNECTION_ERRORS as exc:
         # The endpoint may have responded before it read the whole body.
-        log.debug('Sender: endpoint did not read the whole body: %s', exc)
+        log.debug('Sender: endpoint did not read the whole body: %r.', exc)
 
 
 async def _send_chunks(connection: UpstreamConnection, body: RequestBody) -> None:
--- a/packages/node/src/plantainloft_node/engine/upstream_connection.py
+++ b/packages/node/src/plantainloft_node/engine/upstream_connection.py
@@ -193,6 +193,8 @@
         if self._request is None or self._protocol.their_state is not h11.DONE:
             raise BrokenAnswerError(reason='connection closed after a stale response')
         leftover = self._protocol.trailing_data[0]
+        # h11 accepts one response per request. A new protocol object that has encoded the
+        # request again, without sending it, accepts the next response.
         self._protocol = h11.Connection(h11.CLIENT)
         self._encode(self._protocol, self._request)
         self._protocol.receive_data(leftover)
--- a/packages/node/src/plantainloft_node/quarantine/crash_detector.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_detector.py
@@ -48,7 +48,11 @@
         try:
             self._send_stream.send_nowait(attempt)
         except anyio.WouldBlock:
-            log.warning('Crash check: queue is full, check skipped.', extra={'kind': 'crash_check'})
+            log.warning(
+                'Crash check: check of endpoint %s skipped, the queue is full.',
+                attempt.incarnation,
+                extra={'kind': 'crash_check'},
+            )
 
     async def run(self) -> None:
         """Process queued checks until cancelled."""
--- a/packages/node/src/plantainloft_node/quarantine/crash_records.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_records.py
@@ -28,15 +28,15 @@
 
 
 class Exemption(IntFlag):
-    """Which callers a crash does not count against, as a result of answers.
+    """Which callers a crash does not count against, because of answers or of an operator.
 
     ``ANSWERED_BEFORE``: the caller received an answer to the same request shortly
     before the crash. The request may have become fatal since, so the crash counts
     half.
     ``OTHER_CALLERS``: other callers received an answer to the same request, so the
     crash counts only against its own caller.
-    ``ALL_CALLERS``: the caller received an answer after the crash, so the crash
-    counts against nobody.
+    ``ALL_CALLERS``: the caller received an answer after the crash, or an operator
+    released the request, so the crash counts against nobody.
     """
 
     NONE = 0
--- a/packages/node/src/plantainloft_node/quarantine/crash_registry.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_registry.py
@@ -65,7 +65,7 @@
         self._crashes_by_content: dict[bytes, CrashesByKey] = {}
         # Reports search only these requests for recent changes.
         self._recent_until_by_content: dict[bytes, float] = {}
-        self._quarantined: set[bytes] = set()
+        self._quarantined_contents: set[bytes] = set()
         self._rotation_index = 0
         self._last_expiry_at = float('-inf')
         self._first_crash_broadcast_at = float('-inf')
@@ -190,7 +190,7 @@
             content_digest = report.fingerprint.content_digest
             key = CrashKey(report.fingerprint.caller_digest, report.endpoint_hash)
             crashed_at = now - report.age_s - report_age_s
-            was_quarantined = content_digest in self._quarantined
+            was_quarantined = content_digest in self._quarantined_contents
             if self._add(
                 content_digest, key, crashed_at=crashed_at, exemption=report.exemption, now=now
             ):
@@ -210,7 +210,7 @@
             for content_digest, crashes in self._crashes_by_content.items()
             if crashes
         }
-        self._quarantined &= self._crashes_by_content.keys()
+        self._quarantined_contents &= self._crashes_by_content.keys()
 
     def _add(
         self,
@@ -245,9 +245,9 @@
         self._recent_until_by_content[content_digest] = now + RECENT_CHANGE_S
         crashes = self._crashes_by_content[content_digest]
         if max_weight(crashes) >= QUARANTINE_THRESHOLD:
-            self._quarantined.add(content_digest)
+            self._quarantined_contents.add(content_digest)
         else:
-            self._quarantined.discard(content_digest)
+            self._quarantined_contents.discard(content_digest)
 
     def _evict(self) -> None:
         """Delete the request with the lowest weight, among equals the oldest."""
@@ -262,14 +262,14 @@
 
         evicted = min(self._crashes_by_content, key=rank)
         self._crashes_by_content.pop(evicted)
-        self._quarantined.discard(evicted)
+        self._quarantined_contents.discard(evicted)
 
     def _next_older_reports(self, now: float, *, max_reports: int) -> list[CrashReport]:
         """Return older crashes of the next quarantined requests in the rotation.
 
         Stops at the first request whose crashes no longer fit into ``max_reports``.
         """
-        contents = sorted(self._quarantined)
+        contents = sorted(self._quarantined_contents)
         reported: list[CrashReport] = []
         for _ in contents:
             content_digest = contents[self._rotation_index % len(contents)]
--- a/packages/node/src/plantainloft_node/quarantine/quarantine.py
+++ b/packages/node/src/plantainloft_node/quarantine/quarantine.py
@@ -120,7 +120,7 @@
             self._broadcast()
 
     def lift(self, fingerprint: RequestFingerprint, now: float) -> bool:
-        """Release a request on behalf of an operator; return whether crashes counted."""
+        """Release a request for an operator; return whether any crash counted against it."""
         before = self.crash_registry.summary_for(fingerprint, now)
         if not self.crash_registry.lift(fingerprint, now):
             return False
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -32,9 +32,9 @@
 async def echo(connection: ScriptedConnection) -> None:
     while True:
         request = await connection.read_request()
-        found = re.search(rb'x-request-id: (\S+)', request.lower())
+        id_match = re.search(rb'x-request-id: (\S+)', request.lower())
         await connection.send(
-            signed_ok_response(b'ok', request_id=found.group(1) if found else b'')
+            signed_ok_response(b'ok', request_id=id_match.group(1) if id_match else b'')
         )
 
 
@@ -244,11 +244,11 @@
         await stream.send(
             get_request(b'/files/slow') + get_request(b'/files/fast', request_id=b'r2')
         )
-        got = b''
+        received = b''
         with anyio.fail_after(5):
-            while got.count(b'HTTP/1.1 200') < 2 or not got.endswith(b'fast'):
-                got += await stream.receive()
-    assert got.index(b'slow') < got.index(b'fast')
+            while received.count(b'HTTP/1.1 200') < 2 or not received.endswith(b'fast'):
+                received += await stream.receive()
+    assert received.index(b'slow') < received.index(b'fast')
 
 
 async def test_a_pipelined_write_waits_for_the_responses_before_it() -> None:
@@ -454,7 +454,11 @@
 
 def logged_fields(caplog: pytest.LogCaptureFixture) -> dict[str, dict[str, object]]:
     """Return the fields of the latest log record of each kind."""
-    return {line.kind: line.fields for line in caplog.records if hasattr(line, 'fields')}  # type: ignore[attr-defined]
+    return {
+        record.kind: record.fields  # type: ignore[attr-defined]
+        for record in caplog.records
+        if hasattr(record, 'fields')
+    }
 
 
 async def test_a_refusal_without_a_configuration_is_logged(
@@ -545,7 +549,7 @@
 
 
 class CrashingScript:
-    """An endpoint script that crashes its endpoint on requests with ``fatal`` in their line."""
+    """An endpoint script that crashes its endpoint on requests with ``fatal`` in the first line."""
 
     def __init__(self) -> None:
         self.fatal_runs = 0
@@ -557,16 +561,16 @@
                 self.fatal_runs += 1
                 connection.endpoint.stop()
                 return
-            found = re.search(rb'x-request-id: (\S+)', request.lower())
+            id_match = re.search(rb'x-request-id: (\S+)', request.lower())
             await connection.send(
-                signed_ok_response(b'ok', request_id=found.group(1) if found else b'')
+                signed_ok_response(b'ok', request_id=id_match.group(1) if id_match else b'')
             )
 
 
-async def send_repeatedly(server: ForwardingServer, raw: bytes, count: int) -> list[int]:
+async def send_repeatedly(server: ForwardingServer, raw_request: bytes, count: int) -> list[int]:
     answers = []
     for _ in range(count):
-        answers.append(status_of(await server.send_request(raw)))
+        answers.append(status_of(await server.send_request(raw_request)))
         # Lets the check of the endpoint finish, for which the caller does not wait.
         await anyio.sleep(0.05)
     return answers
@@ -649,7 +653,7 @@
     async with running_forwarding_server(echo) as (server, _):
         host, _, port = server.address.partition(':')
         for _ in range(20):
-            raw = socket.create_connection((host, int(port)))
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
-            raw.close()
+            raw_socket = socket.create_connection((host, int(port)))
+            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
+            raw_socket.close()
         assert status_of(await server.send_request(get_request())) == 200
