--- a/packages/core/src/plantainloft_core/capacity_claims.py
+++ b/packages/core/src/plantainloft_core/capacity_claims.py
@@ -8,13 +8,15 @@
 - Half of the capacity is divided statically by the number of entry
   instances planned in the configuration. This is each node's guaranteed
   capacity, which it keeps whatever else fails.
-- The other half is claimed on demand. A node's claim grows by the node's
-  share of the unclaimed capacity, and only after every live peer has
-  confirmed its current claim, so claims that grew concurrently still fit.
-- A claim above the guaranteed capacity is valid only while the node
-  exchanges heartbeats with more than half of the planned nodes. Other
-  nodes may take it over only some time after its holder was found dead.
-  A node that was partitioned, or paused and resumed, falls back to its
+- The other half is claimed on demand. A node's claim grows only after every
+  live peer has confirmed its current one, and by at most
+  ``CLAIM_GROWTH_FRACTION`` of the node's share of the unclaimed capacity, so
+  claims that grew concurrently still fit.
+- A claim above the guaranteed capacity is valid only while the node and the
+  peers whose last heartbeat is at most ``HEARTBEAT_MAX_AGE_S`` old are more
+  than half of the planned nodes. Other nodes may take it over only when its
+  holder has sent them nothing for ``CLAIM_LEASE_S``, which is longer. A node
+  that was partitioned, or paused and resumed, therefore falls back to its
   guaranteed capacity before that.
 
 The module does no I/O: callers pass in received messages and the time.
@@ -40,12 +42,12 @@
 
     The shares of all planned nodes add up to 1.
     """
-    planned = {
+    planned_by_region = {
         name: planned_region.entry_instances
         for name, planned_region in config.regions_by_name.items()
     }
-    local_nodes = planned.get(region, 0)
-    remote_nodes = sum(planned.values()) - local_nodes
+    local_nodes = planned_by_region.get(region, 0)
+    remote_nodes = sum(planned_by_region.values()) - local_nodes
     if not remote_nodes:
         return 1.0 / max(1, local_nodes)
     if not local_nodes:
@@ -76,7 +78,7 @@
         self.revision = 0
         self._home_region = home_region
         self._claims_by_peer: dict[str, Mapping[str, float]] = {}
-        self._last_heard_by_peer: dict[str, float] = {}
+        self._last_message_at_by_peer: dict[str, float] = {}
         self._confirmed_revision_by_peer: dict[str, int] = {}
 
     def record_peer_claims(
@@ -84,7 +86,7 @@
     ) -> None:
         """Record the claims that ``peer`` itself has sent."""
         self._claims_by_peer[peer] = claimed_by_region
-        self._last_heard_by_peer[peer] = now
+        self._last_message_at_by_peer[peer] = now
 
     def record_confirmation(self, peer: str, revision: int) -> None:
         """Record that ``peer`` answered a heartbeat that carried ``revision``."""
@@ -134,11 +136,11 @@
             self.revision += 1
 
     def _has_quorum(self, config: Configuration, now: float) -> bool:
-        planned = sum(region.entry_instances for region in config.regions_by_name.values())
+        planned_nodes = sum(region.entry_instances for region in config.regions_by_name.values())
         fresh_heartbeats = [
-            at for at in self._last_heard_by_peer.values() if now - at <= HEARTBEAT_MAX_AGE_S
+            at for at in self._last_message_at_by_peer.values() if now - at <= HEARTBEAT_MAX_AGE_S
         ]
-        return (len(fresh_heartbeats) + 1) * 2 > planned
+        return (len(fresh_heartbeats) + 1) * 2 > planned_nodes
 
     def _all_peers_confirmed(self, live_peers: Iterable[str]) -> bool:
         confirmed = self._confirmed_revision_by_peer
@@ -148,6 +150,6 @@
         shared = config.regions_by_name[region].capacity * (1.0 - GUARANTEED_FRACTION)
         claimed = self.claimed_by_region.get(region, 0.0)
         for peer, claimed_by_region in self._claims_by_peer.items():
-            if now - self._last_heard_by_peer[peer] <= CLAIM_LEASE_S:
+            if now - self._last_message_at_by_peer[peer] <= CLAIM_LEASE_S:
                 claimed += claimed_by_region.get(region, 0.0)
         return max(0.0, shared - claimed)
--- a/packages/core/src/plantainloft_core/commits.py
+++ b/packages/core/src/plantainloft_core/commits.py
@@ -34,7 +34,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CHANGES_PER_WINDOW = 20
+MAX_CHANGES_READ_BACK = 20
 
 
 async def commit_patch(
@@ -103,9 +103,14 @@
 async def _config_before_window(
     client: TableClient, *, current: Configuration
 ) -> Configuration | Unreachable | Invalid:
+    """Return the configuration that was current when the shift window began.
+
+    It looks back over at most ``MAX_CHANGES_READ_BACK`` changes, and not past
+    version 1.
+    """
     window_start = time.time() - SHIFT_WINDOW_S
     number = current.version
-    for _ in range(MAX_CHANGES_PER_WINDOW):
+    for _ in range(MAX_CHANGES_READ_BACK):
         if number <= 1:
             break
         change = await read_change(client, number)
@@ -122,10 +127,10 @@
 
 async def _commit_change(client: TableClient, change: Change) -> Committed | Conflict | Unreachable:
     base_version = change.number - 1
-    stored = {name: part for name, part in change._asdict().items() if name != 'number'}
+    row_value = {name: value for name, value in change._asdict().items() if name != 'number'}
     outcome = await client.commit_transaction(
         conditions={HEAD_KEY: base_version},
-        writes={HEAD_KEY: {'change_id': change.change_id}, version_key(change.number): stored},
+        writes={HEAD_KEY: {'change_id': change.change_id}, version_key(change.number): row_value},
     )
     if isinstance(outcome, TxnConflict):
         return Conflict(current_version=outcome.versions_by_key[HEAD_KEY])
@@ -140,10 +145,10 @@
 
 async def _store_snapshot(client: TableClient, snapshot: Snapshot) -> None:
     packed = msgpack.packb(snapshot.document)
-    stored = await client.put_object(snapshot_key(snapshot.number), packed)
-    if isinstance(stored, Unreachable):
+    outcome = await client.put_object(snapshot_key(snapshot.number), packed)
+    if isinstance(outcome, Unreachable):
         # The commit is still valid: readers start from an older snapshot.
-        log.warning('Versions: cannot store snapshot %s: %s.', snapshot.number, stored.reason)
+        log.warning('Versions: cannot store snapshot %s: %s.', snapshot.number, outcome.reason)
 
 
 async def _resolve_lost_response(
@@ -154,7 +159,7 @@
 ) -> Committed | Conflict | Unreachable:
     # The write may have been applied. Read back the row that it creates: our
     # change ID means that it was committed, another ID that a concurrent change
-    # won, and no row that it is not committed yet.
+    # won, and no row that neither has been committed so far.
     row = await client.get(version_key(base_version + 1))
     if isinstance(row, Unreachable):
         return Unreachable(reason='response to the commit was lost; its outcome is unknown')
--- a/packages/core/src/plantainloft_core/gossip_queue.py
+++ b/packages/core/src/plantainloft_core/gossip_queue.py
@@ -5,11 +5,11 @@
 __all__ = ['GossipQueue']
 
 SENDS_PER_NODE_DOUBLING = 3
-UPDATES_PER_MESSAGE = 12
+MAX_UPDATES_PER_MESSAGE = 12
 
 
 class GossipQueue:
-    """Names of the members with updates to send; the least sent go first.
+    """Names of the members with updates to send; those with the most sends left go first.
 
     Each update is sent a number of times that grows with the logarithm of the
     number of nodes, which is enough for gossip to reach all of them.
@@ -33,7 +33,7 @@
             self._sends_left_by_name,
             key=lambda name: self._sends_left_by_name[name],
             reverse=True,
-        )[:UPDATES_PER_MESSAGE]
+        )[:MAX_UPDATES_PER_MESSAGE]
         for name in names:
             self._sends_left_by_name[name] -= 1
             if not self._sends_left_by_name[name]:
--- a/packages/core/src/plantainloft_core/membership_list.py
+++ b/packages/core/src/plantainloft_core/membership_list.py
@@ -46,9 +46,9 @@
 class MembershipList:
     """One node's view of the status of all members.
 
-    A suspected member that does not respond within ``suspicion_timeout_s`` is declared
-    dead. ``revision`` is incremented with each change of the view. Times are
-    in seconds of the caller's monotonic clock.
+    A suspected member that does not respond within ``suspicion_timeout_s`` is
+    declared dead. ``revision`` is incremented with each change of the view.
+    Times are in seconds of the caller's monotonic clock.
     """
 
     def __init__(self, *, local_member: Member, suspicion_timeout_s: float, seed: int = 0) -> None:
@@ -62,7 +62,7 @@
         self._rng = random.Random(seed)
 
     def live_members(self) -> list[Member]:
-        """Return the members believed to be alive, including this node."""
+        """Return the members with status ``ALIVE``, including this node."""
         others = (entry.member for entry in self._entry_by_name.values() if _is_live(entry))
         return [self.local_member, *others]
 
@@ -73,7 +73,7 @@
 
     def announce_leaving(self) -> None:
         """Mark this node as leaving and announce it to the other members."""
-        self._announce_self(leaving=True, above=self.local_member.incarnation)
+        self._announce_self(leaving=True, above_incarnation=self.local_member.incarnation)
 
     def record_contact(self, member: Member, now: float) -> None:
         """Mark ``member`` alive after a message that it has sent itself."""
@@ -86,8 +86,8 @@
             known.member.incarnation,
             known.status,
         ):
-            # Other nodes believe that it is dead as well. Our response tells it
-            # so, and it announces itself with a higher incarnation.
+            # Other nodes have declared this incarnation dead as well. Our response
+            # tells it so, and it announces itself with a higher one.
             return
         self._apply_update(MemberUpdate(member=member, status=MembershipStatus.ALIVE), now)
 
@@ -123,8 +123,7 @@
         """Return the next members to probe, all of them in turn.
 
         Dead members are probed too. After a network partition, each side
-        believes that the other is dead, and only a successful probe corrects
-        this.
+        has declared the other dead, and only a successful probe corrects this.
         """
         chosen: list[Member] = []
         for _ in range(min(count, len(self._entry_by_name))):
@@ -172,14 +171,18 @@
         if update.member.incarnation > self.local_member.incarnation:
             # Only another process that runs under our name can have sent this,
             # such as a replacement with our address. Ours must be the newer.
-            self._announce_self(leaving=self.local_member.leaving, above=update.member.incarnation)
+            self._announce_self(
+                leaving=self.local_member.leaving, above_incarnation=update.member.incarnation
+            )
         elif same_incarnation and update.status != MembershipStatus.ALIVE:
             self._announce_self(
-                leaving=self.local_member.leaving, above=self.local_member.incarnation
+                leaving=self.local_member.leaving, above_incarnation=self.local_member.incarnation
             )
 
-    def _announce_self(self, *, leaving: bool, above: int) -> None:
-        self.local_member = self.local_member._replace(leaving=leaving, incarnation=above + 1)
+    def _announce_self(self, *, leaving: bool, above_incarnation: int) -> None:
+        self.local_member = self.local_member._replace(
+            leaving=leaving, incarnation=above_incarnation + 1
+        )
         self._gossip.add(self.local_member.name, nodes=len(self._entry_by_name) + 1)
         self.revision += 1
 
--- a/packages/core/src/plantainloft_core/organisation_schema.py
+++ b/packages/core/src/plantainloft_core/organisation_schema.py
@@ -34,18 +34,18 @@
     doc: Mapping[str, Any], problems: SchemaProblems, *, regions: frozenset[str]
 ) -> OrganisationIndex:
     """Return the organisations of ``doc`` and add its errors to ``problems``."""
-    found = [
+    organisations = [
         _parse_organisation(name, raw, problems, known_regions=regions)
         for name, raw in section_of(doc, SECTION, problems).items()
     ]
     holder_by_digest: dict[str, str] = {}
-    for organisation in found:
+    for organisation in organisations:
         for digest in sorted(organisation.key_digests):
             holder = holder_by_digest.setdefault(digest, organisation.name)
             if holder != organisation.name:
                 path = f'{SECTION}.{organisation.name}.keys.{digest[:DIGEST_PREFIX_DIGITS]}'
                 problems.add(path, f'already belongs to organisation {holder!r}')
-    return build_organisation_index(found)
+    return build_organisation_index(organisations)
 
 
 def _parse_organisation(
--- a/packages/core/src/plantainloft_core/organisations.py
+++ b/packages/core/src/plantainloft_core/organisations.py
@@ -86,10 +86,10 @@
 
 def shared_key_digests(organisations: Iterable[Organisation]) -> list[str]:
     """Return the digests of the keys that belong to several organisations."""
-    holders_by_digest = Counter(
+    holder_count_by_digest = Counter(
         digest for organisation in organisations for digest in organisation.key_digests
     )
-    return sorted(digest for digest, holders in holders_by_digest.items() if holders > 1)
+    return sorted(digest for digest, count in holder_count_by_digest.items() if count > 1)
 
 
 NO_ORGANISATIONS = build_organisation_index(())
--- a/packages/core/src/plantainloft_core/routes.py
+++ b/packages/core/src/plantainloft_core/routes.py
@@ -20,7 +20,8 @@
     'build_route_table',
 ]
 
-# The regions of a route that may run in no region. An empty set would mean all.
+# For a route whose requests may run in no region: a set that no region is in.
+# An empty set would mean all regions.
 NO_REGIONS = frozenset(('',))
 
 
@@ -34,11 +35,12 @@
 class Route(NamedTuple):
     """A route for the requests to ``host`` whose path starts with ``prefix``.
 
-    ``timeout_s`` is the longest time that a caller waits, ``latency_objective_s`` the
-    latency objective, ``max_attempts`` the number of endpoints that a request
-    may be sent to, and ``priority`` its rank (0 is served first). ``regions``
-    are the only regions in which requests may run; an empty set means all. A
-    ``public`` route requires no key, even if organisations are declared.
+    ``timeout_s`` is the longest time that a caller waits, ``max_attempts`` the
+    number of endpoints that a request may be sent to, and ``priority`` its rank
+    (0 is served first). ``shares`` are the services that the route's requests
+    are split over. ``regions`` are the only regions in which requests may run;
+    an empty set means all. A ``public`` route requires no key, even if
+    organisations are declared.
     """
 
     name: str
@@ -70,8 +72,9 @@
 class ServiceLimits(NamedTuple):
     """The load that endpoints of a service can take.
 
-    ``cold_requests_per_s`` is the number of requests per second that a cold endpoint can
-    take, and ``warmup_s`` is how long an endpoint is cold after its start.
+    ``cold_requests_per_s`` is the number of requests per second that a cold
+    endpoint can take, and ``warmup_s`` is how long an endpoint is cold after its
+    start.
     """
 
     name: str
@@ -120,14 +123,14 @@
     limits: CallerLimits,
     organisations: OrganisationIndex = NO_ORGANISATIONS,
 ) -> RouteTable:
-    """Index ``routes`` by host, longest prefix first."""
+    """Return a table with ``routes`` indexed by host, longest prefix first."""
     routes_by_host: dict[str, list[Route]] = {}
     longest_first = sorted(routes, key=lambda route: -len(route.prefix))
     for route in longest_first:
         routes_by_host.setdefault(route.host, []).append(route)
     return RouteTable(
         version=version,
-        routes_by_host={name: tuple(host_routes) for name, host_routes in routes_by_host.items()},
+        routes_by_host={host: tuple(host_routes) for host, host_routes in routes_by_host.items()},
         services_by_name={service.name: service for service in services},
         limits=limits,
         organisations=organisations,
--- a/packages/core/src/plantainloft_core/schema_validation.py
+++ b/packages/core/src/plantainloft_core/schema_validation.py
@@ -19,7 +19,8 @@
     def number(self, path: str, raw: Any, *, low: float, high: float) -> float:
         """Return ``raw`` as a number and check that it is in ``low`` to ``high``.
 
-        A value that is not a number is reported, and ``low`` is returned.
+        A value that is not a number is reported, and ``low`` is returned. A number
+        out of range is reported, but returned as it is.
         """
         if isinstance(raw, bool) or not isinstance(raw, int | float):
             self.add(path, 'must be a number')
--- a/packages/core/src/plantainloft_core/shift_check.py
+++ b/packages/core/src/plantainloft_core/shift_check.py
@@ -29,11 +29,13 @@
     Added slots displace nothing. Removed slots displace only the traffic that
     the region's remaining slots cannot carry.
     """
-    old = _active_slots_by_region(before, service)
-    new = _active_slots_by_region(after, service)
-    busy_by_region = {region: slots * ASSUMED_UTILISATION for region, slots in old.items()}
-    displaced = [max(0.0, busy - new.get(name, 0)) for name, busy in busy_by_region.items()]
-    return sum(displaced) / sum(busy_by_region.values()) if old else 0.0
+    old_slots = _active_slots_by_region(before, service)
+    new_slots = _active_slots_by_region(after, service)
+    busy_by_region = {region: slots * ASSUMED_UTILISATION for region, slots in old_slots.items()}
+    displaced = [
+        max(0.0, busy - new_slots.get(region, 0)) for region, busy in busy_by_region.items()
+    ]
+    return sum(displaced) / sum(busy_by_region.values()) if old_slots else 0.0
 
 
 def check_shift(before: Configuration, after: Configuration) -> tuple[str, ...]:
--- a/packages/core/src/plantainloft_core/steering.py
+++ b/packages/core/src/plantainloft_core/steering.py
@@ -151,11 +151,11 @@
     """Return how many requests ``endpoint`` may have in flight now.
 
     A new endpoint starts with a quarter of its slots and gets all of them
-    over ``SLOW_START_S``. Requests are slow until its caches are warm, so a large
-    traffic shift must not reach it all at once.
+    over ``SLOW_START_S``. Requests are slow until its caches are warm, so a
+    large traffic shift must not reach it all at once.
     """
-    warm = min(1.0, load.in_service_s / SLOW_START_S)
-    share = COLD_START_SHARE + (1 - COLD_START_SHARE) * warm
+    warm_fraction = min(1.0, load.in_service_s / SLOW_START_S)
+    share = COLD_START_SHARE + (1 - COLD_START_SHARE) * warm_fraction
     return max(1.0, endpoint.slots * share)
 
 
@@ -232,7 +232,7 @@
         nearest = candidates_by_tier[min(candidates_by_tier)]
         sample = self._rng.sample(nearest, k=min(SAMPLE_SIZE, len(nearest)))
         # The sample is in random order, so ties are broken at random.
-        return Choice(endpoint=max(sample, key=_candidate_slots).endpoint)
+        return Choice(endpoint=max(sample, key=_free_slots_of).endpoint)
 
 
 class _Candidate(NamedTuple):
@@ -240,7 +240,7 @@
     endpoint: Endpoint
 
 
-def _candidate_slots(candidate: _Candidate) -> float:
+def _free_slots_of(candidate: _Candidate) -> float:
     return candidate.free_slots
 
 
--- a/packages/core/src/plantainloft_core/table_client.py
+++ b/packages/core/src/plantainloft_core/table_client.py
@@ -87,16 +87,18 @@
 
     async def get_object(self, key: str) -> bytes | Unreachable | None:
         """Return the object with ``key``, or ``None`` if it does not exist."""
-        response = await self._call('GET', f'/objects/{key}', what=f'object {key}')
+        response = await self._call('GET', f'/objects/{key}', what=f'get object {key}')
         if response is None or isinstance(response, Unreachable):
             return response
         return response.content
 
     async def put_object(self, key: str, content: bytes) -> Unreachable | None:
         """Store ``content`` under ``key`` in the object store."""
-        response = await self._call('PUT', f'/objects/{key}', what=f'object {key}', content=content)
+        response = await self._call(
+            'PUT', f'/objects/{key}', what=f'put object {key}', content=content
+        )
         if response is None:
-            return Unreachable(reason=f'object {key}: status {_NOT_FOUND}')
+            return Unreachable(reason=f'put object {key}: status {_NOT_FOUND}')
         return response if isinstance(response, Unreachable) else None
 
     async def commit_transaction(
--- a/packages/core/src/plantainloft_core/target_split.py
+++ b/packages/core/src/plantainloft_core/target_split.py
@@ -21,9 +21,9 @@
 class RegionLoad(NamedTuple):
     """What a node knows about one service in one region.
 
-    ``usable_slots`` is the number of slots that may be used and ``free_slots`` how many of them are
-    not in use. ``refused_share`` (0..1) is the share of recent requests to the
-    region that found no headroom.
+    ``usable_slots`` is the number of slots that may be used and ``free_slots``
+    how many of them are not in use. ``refused_share`` (0..1) is the share of
+    recent requests to the region that found no headroom.
     """
 
     usable_slots: float
--- a/packages/core/src/plantainloft_core/txn_batching.py
+++ b/packages/core/src/plantainloft_core/txn_batching.py
@@ -4,8 +4,8 @@
 the whole deployment. Each non-idempotent request needs two conditional
 writes, so sending them one by one would exhaust this at a few hundred
 requests per second. The batcher sends at most one transaction per
-``min_interval_s``, with everything that was queued meanwhile. This bounds a node's
-write rate independently of its request rate.
+``min_interval_s``, with everything that was queued meanwhile. This bounds a
+node's write rate independently of its request rate.
 """
 
 import collections
@@ -21,7 +21,7 @@
 __all__ = ['TxnBatcher', 'TxnOutcome']
 
 MAX_BATCH_ROWS = 100
-POST_ATTEMPTS = 3
+NOWAIT_ATTEMPTS = 3
 
 TxnOutcome = TxnCommitted | TxnConflict | Unreachable
 
@@ -30,11 +30,11 @@
     """A queued transaction and, once ``settled`` is set, its outcome."""
 
     def __init__(
-        self, *, conditions: dict[str, int], writes: dict[str, Any], attempts: int = 1
+        self, *, conditions: dict[str, int], writes: dict[str, Any], attempts_left: int = 1
     ) -> None:
         self.conditions = conditions
         self.writes = writes
-        self.attempts = attempts
+        self.attempts_left = attempts_left
         self.settled = anyio.Event()
         self.outcome: TxnOutcome = Unreachable(reason='not sent')
 
@@ -51,8 +51,8 @@
 
     The transactions of a batch touch different rows, so a conflict can be
     attributed to the transactions that caused it; the others go into the next
-    batch. If the response to a batch is lost, this is reported to each of its
-    transactions, because all of them may have been applied.
+    batch. If the response to a batch is lost, this is reported to each caller
+    that waits for one of its transactions, because all may have been applied.
     """
 
     def __init__(self, *, client: TableClient, min_interval_s: float) -> None:
@@ -75,11 +75,11 @@
     def submit_nowait(self, *, conditions: dict[str, int], writes: dict[str, Any]) -> None:
         """Queue a transaction for the next batch without waiting for it.
 
-        It is dropped after ``POST_ATTEMPTS`` attempts while the table is
+        It is dropped after ``NOWAIT_ATTEMPTS`` attempts while the table is
         unreachable, so use this only for writes whose loss violates no guarantee.
         """
         self._enqueue(
-            _PendingTransaction(conditions=conditions, writes=writes, attempts=POST_ATTEMPTS)
+            _PendingTransaction(conditions=conditions, writes=writes, attempts_left=NOWAIT_ATTEMPTS)
         )
 
     async def flush(self, *, timeout_s: float) -> None:
@@ -139,8 +139,8 @@
             conflict_versions = {key: outcome.versions_by_key[key] for key in conflicts}
             pending.settle(TxnConflict(versions_by_key=conflict_versions))
             return
-        pending.attempts -= 1
-        if isinstance(outcome, Unreachable) and pending.attempts > 0:
+        pending.attempts_left -= 1
+        if isinstance(outcome, Unreachable) and pending.attempts_left > 0:
             self._queue.append(pending)
             return
         pending.settle(outcome)
--- a/packages/core/src/plantainloft_core/versions.py
+++ b/packages/core/src/plantainloft_core/versions.py
@@ -1,11 +1,12 @@
 """Read numbered configuration versions from the platform's table service.
 
-Configuration is stored only in the platform's services.
-The version of the row ``config/head`` is the current configuration version.
-The row ``config/v/{n}`` holds the patch that created version n, its author
-and a change ID. Every ``VERSIONS_PER_SNAPSHOT`` versions, the whole document is
-stored in the object store as ``config/snapshot/{n}`` (msgpack). A reader
-loads the newest snapshot and applies the patches that follow it.
+Configuration is stored only in the platform's services. The version of the
+row ``config/head`` is the current configuration version. The row
+``config/v/{n}`` holds the patch that created version n, its author, a change
+ID and the time of the commit. Every ``VERSIONS_PER_SNAPSHOT`` versions, the
+whole document is stored in the object store as ``config/snapshot/{n}``
+(msgpack). A reader loads the newest snapshot and applies the patches that
+follow it.
 
 Versions are written by ``commits``.
 """
--- a/packages/ctl/src/plantainloft_ctl/command_helpers.py
+++ b/packages/ctl/src/plantainloft_ctl/command_helpers.py
@@ -16,7 +16,7 @@
 DEFAULT_TABLE_URL = 'http://127.0.0.1:7400'
 TIMEOUT_S = 2.0
 EXIT_FAILED = 1
-EXIT_REFUSED = 3
+EXIT_REJECTED = 3
 
 Result = TypeVar('Result')
 
@@ -39,7 +39,7 @@
     if isinstance(outcome, Invalid):
         for problem in outcome.problems:
             print(f'invalid: {problem}', file=sys.stderr)
-        raise cappa.Exit(code=EXIT_REFUSED)
+        raise cappa.Exit(code=EXIT_REJECTED)
     print(f'unreachable: {outcome.reason}', file=sys.stderr)
     raise cappa.Exit(code=EXIT_FAILED)
 
--- a/packages/ctl/src/plantainloft_ctl/commands/history.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/history.py
@@ -20,20 +20,20 @@
     limit: Annotated[int, cappa.Arg(long=True)] = 20
 
     def __call__(self) -> None:
-        async def read_versions(client):  # type: ignore[no-untyped-def]
+        async def read_recent_changes(client):  # type: ignore[no-untyped-def]
             head = await read_head(client)
             if isinstance(head, Unreachable):
                 return head
-            versions: list[Change | Unreachable | Invalid] = []
+            changes: list[Change | Unreachable | Invalid] = []
             for number in range(head, max(0, head - self.limit), -1):
-                versions.append(await read_change(client, number))
-            return versions
+                changes.append(await read_change(client, number))
+            return changes
 
-        versions = run_with_table(self.table, read_versions)
-        if isinstance(versions, Unreachable):
-            exit_with_error(versions)
+        changes = run_with_table(self.table, read_recent_changes)
+        if isinstance(changes, Unreachable):
+            exit_with_error(changes)
             return
-        for change in versions:
+        for change in changes:
             if isinstance(change, Change):
                 ops = ', '.join(f'{op["op"]} {op["path"]}' for op in change.patch)
                 print(f'{change.number:>6}  {change.author:<12}  {ops}')
--- a/packages/ctl/src/plantainloft_ctl/commands/organisations.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/organisations.py
@@ -71,10 +71,10 @@
     try:
         response = httpx.get(f'{node.rstrip("/")}/organisations', timeout=TIMEOUT_S)
     except httpx.HTTPError as exc:
-        print(f'{node}: {type(exc).__name__}', file=sys.stderr)
+        print(f'organisations: no response from {node} ({type(exc).__name__})', file=sys.stderr)
         return None
     if response.is_error:
-        print(f'{node}: {response.status_code}', file=sys.stderr)
+        print(f'organisations: {node} returned status {response.status_code}', file=sys.stderr)
         return None
     organisations: list[dict[str, Any]] = response.json()
     return organisations
--- a/packages/ctl/src/plantainloft_ctl/commands/quarantine.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/quarantine.py
@@ -31,7 +31,10 @@
         try:
             self._list_or_lift(self.node.rstrip('/'))
         except httpx.HTTPError as exc:
-            print(f'{self.node}: {type(exc).__name__}', file=sys.stderr)
+            print(
+                f'quarantine: request to {self.node} failed ({type(exc).__name__}: {exc})',
+                file=sys.stderr,
+            )
             raise cappa.Exit(code=EXIT_FAILED) from exc
 
     def _list_or_lift(self, base_url: str) -> None:
--- a/packages/ctl/src/plantainloft_ctl/commands/status.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/status.py
@@ -28,7 +28,7 @@
             try:
                 response = httpx.get(url, timeout=TIMEOUT_S)
             except httpx.HTTPError as exc:
-                print(f'{url}: {type(exc).__name__}')
+                print(f'status: no response from {url} ({type(exc).__name__})')
                 continue
             address = httpx.URL(url).netloc.decode()
             statuses.append(parse_status(address, response.text))
--- a/packages/ctl/src/plantainloft_ctl/commands/submit.py
+++ b/packages/ctl/src/plantainloft_ctl/commands/submit.py
@@ -13,7 +13,7 @@
 from plantainloft_core.outcomes import Committed, Conflict
 from plantainloft_ctl.command_helpers import (
     DEFAULT_TABLE_URL,
-    EXIT_REFUSED,
+    EXIT_REJECTED,
     exit_with_error,
     run_with_table,
 )
@@ -54,6 +54,6 @@
                 f'current is {outcome.current_version}. Rebase and submit again.',
                 file=sys.stderr,
             )
-            raise cappa.Exit(code=EXIT_REFUSED)
+            raise cappa.Exit(code=EXIT_REJECTED)
         else:
             exit_with_error(outcome)
--- a/packages/ctl/src/plantainloft_ctl/losses.py
+++ b/packages/ctl/src/plantainloft_ctl/losses.py
@@ -80,7 +80,8 @@
     """Return how many losses were not logged, by kind of log line.
 
     Instances limit the rate of log lines of each kind, so at many losses per
-    second the logs contain only some of them.
+    second the logs contain only some of them. The next line of that kind says
+    how many were left out.
     """
     counts: Counter[str] = Counter()
     for line in lines:
@@ -120,6 +121,7 @@
 def _late_reason(line: LogLine, start_line: LogLine) -> str:
     if line.get('tries'):
         return FAILED_ATTEMPT
+    # More than half of the request's time passed before it was sent.
     if 2 * line.get('placed_ms', 0) > line.get('ms', 0):
         return HELD_BEFORE_SENDING
     if line.get('cold'):
--- a/packages/ctl/src/plantainloft_ctl/plot.py
+++ b/packages/ctl/src/plantainloft_ctl/plot.py
@@ -19,7 +19,7 @@
 HEIGHT_IN = 3.5
 DPI = 100
 # Wide enough for the time groups of a whole day.
-TIMELINE_WIDTH_IN = 12.0
+STACKED_WIDTH_IN = 12.0
 VERTICAL_LABEL_DEGREES = 90.0
 
 
@@ -77,7 +77,7 @@
     title: str,
 ) -> None:
     """Write a chart with one bar per name, its counts stacked by label."""
-    figure, axes = plt.subplots(figsize=(TIMELINE_WIDTH_IN, HEIGHT_IN), dpi=DPI)
+    figure, axes = plt.subplots(figsize=(STACKED_WIDTH_IN, HEIGHT_IN), dpi=DPI)
     bottoms = [0 for _ in names]
     for label, counts in counts_by_label.items():
         axes.bar(names, counts, bottom=bottoms, label=label)
