--- a/packages/node/src/plantainloft_node/app.py
+++ b/packages/node/src/plantainloft_node/app.py
@@ -172,8 +172,8 @@
                 'headroom_by_region': node.headroom_by_region(),
                 'shares_by_service': node.endpoint_selector.shares(),
                 'peer_bytes': {
-                    'sent': node.peer_traffic.sent,
-                    'received': node.peer_traffic.received,
+                    'sent': node.peer_traffic.sent_bytes,
+                    'received': node.peer_traffic.received_bytes,
                 },
                 'slo_ms_by_service': {
                     name: service.slo_ms
--- a/packages/node/src/plantainloft_node/config/settings.py
+++ b/packages/node/src/plantainloft_node/config/settings.py
@@ -28,7 +28,7 @@
 DEFAULT_LOAD_POLL_MS = 1000.0
 DEFAULT_MEMBERSHIP_LEASE_S = 180.0
 DEFAULT_REQUEST_TIMEOUT_MS = 2000.0
-DEFAULT_CLAIM_PACE_MS = 40.0
+DEFAULT_CLAIM_INTERVAL_MS = 40.0
 DEFAULT_GRACE_S = 10.0
 DEFAULT_LEAVE_S = 2.0
 _STEERING_SECTION = 'steering'
@@ -51,7 +51,7 @@
     load_poll_s: float
     membership_lease_s: float
     request_timeout_s: float
-    claim_pace_s: float
+    claim_interval_s: float
     grace_s: float
     leave_s: float
     peer_listen: str
@@ -83,7 +83,7 @@
     Option(_STEERING_SECTION, 'load_poll_ms', positive_float, DEFAULT_LOAD_POLL_MS),
     Option(_STEERING_SECTION, 'membership_lease_s', positive_float, DEFAULT_MEMBERSHIP_LEASE_S),
     Option(_STEERING_SECTION, 'request_timeout_ms', positive_float, DEFAULT_REQUEST_TIMEOUT_MS),
-    Option(_STEERING_SECTION, 'claim_pace_ms', positive_float, DEFAULT_CLAIM_PACE_MS),
+    Option(_STEERING_SECTION, 'claim_pace_ms', positive_float, DEFAULT_CLAIM_INTERVAL_MS),
     Option(_STEERING_SECTION, 'grace_s', positive_float, DEFAULT_GRACE_S),
     Option(_STEERING_SECTION, 'leave_s', positive_float, DEFAULT_LEAVE_S),
     Option('peers', 'listen', str),
@@ -131,7 +131,7 @@
         load_poll_s=values['steering.load_poll_ms'] / MS_PER_S,
         membership_lease_s=values['steering.membership_lease_s'],
         request_timeout_s=values['steering.request_timeout_ms'] / MS_PER_S,
-        claim_pace_s=values['steering.claim_pace_ms'] / MS_PER_S,
+        claim_interval_s=values['steering.claim_pace_ms'] / MS_PER_S,
         grace_s=values['steering.grace_s'],
         leave_s=values['steering.leave_s'],
         peer_listen=values['peers.listen'],
--- a/packages/node/src/plantainloft_node/config_follower.py
+++ b/packages/node/src/plantainloft_node/config_follower.py
@@ -29,6 +29,8 @@
 RETRY_INTERVAL_S = 5.0
 MAX_RETAINED_CHANGES = 64
 POLL_JITTER_RANGE = (0.5, 1.5)
+# An invalid document may have a problem in each of its entries.
+MAX_LOGGED_PROBLEMS = 3
 # Limit on head reads of the whole fleet, whatever the number of nodes.
 FLEET_HEAD_READS_PER_S = 40.0
 
@@ -82,8 +84,8 @@
     async def run(self) -> None:
         """Poll indefinitely, at a longer interval while the table service fails."""
         while True:
-            answered = await self.poll_once()
-            delay = self._poll_period() if answered else RETRY_INTERVAL_S
+            succeeded = await self.poll_once()
+            delay = self._poll_period() if succeeded else RETRY_INTERVAL_S
             # Jitter keeps nodes that started together from reading at the same time.
             with anyio.move_on_after(delay * random.uniform(*POLL_JITTER_RANGE)):
                 while True:
@@ -131,7 +133,10 @@
             return False
         if isinstance(snapshot, Invalid):
             log.error(
-                'Config: version %s is unreadable; keeping version %s.', head, self.config.version
+                'Config: version %s is unreadable (%s); keeping version %s.',
+                head,
+                '; '.join(snapshot.problems[:MAX_LOGGED_PROBLEMS]),
+                self.config.version,
             )
             return False
         return self._apply_snapshot(snapshot)
@@ -145,7 +150,11 @@
                 return
             patched = apply_committed_patch(self.document, self.config, change.patch)
             if isinstance(patched, Invalid):
-                log.error('Config: the change to version %s cannot be applied.', change.number)
+                log.error(
+                    'Config: the change to version %s cannot be applied: %s.',
+                    change.number,
+                    '; '.join(patched.problems[:MAX_LOGGED_PROBLEMS]),
+                )
                 return
             self._retained_changes.append(change)
             self._activate(*patched)
@@ -156,8 +165,9 @@
         config = parse_configuration(snapshot.document, version=snapshot.number)
         if isinstance(config, Invalid):
             log.error(
-                'Config: version %s is invalid; keeping version %s.',
+                'Config: version %s is invalid (%s); keeping version %s.',
                 snapshot.number,
+                '; '.join(config.problems[:MAX_LOGGED_PROBLEMS]),
                 self.config.version,
             )
             return False
--- a/packages/node/src/plantainloft_node/endpoint_loads.py
+++ b/packages/node/src/plantainloft_node/endpoint_loads.py
@@ -41,7 +41,7 @@
         self._poll_s = poll_s
 
     def own_inflight_by_region(self, config: Configuration) -> dict[str, int]:
-        """Return the requests that this node has in flight, by region."""
+        """Return the number of requests that this node has in flight, by region."""
         by_region: dict[str, int] = {}
         for name, count in self.own_inflight_by_endpoint.items():
             endpoint = config.endpoints_by_name.get(name)
--- a/packages/node/src/plantainloft_node/endpoint_selection.py
+++ b/packages/node/src/plantainloft_node/endpoint_selection.py
@@ -2,8 +2,8 @@
 
 A selector chooses from the node's observations: endpoint loads, the traffic split
 of the service over regions, and the node's claims on regional capacity.
-``EndpointSelector.update`` updates the split and the claims from the observations made since
-the previous update.
+``EndpointSelector.update`` updates the split and the claims from the observations
+made since the previous update.
 """
 
 import abc
--- a/packages/node/src/plantainloft_node/entry/fleet_tasks.py
+++ b/packages/node/src/plantainloft_node/entry/fleet_tasks.py
@@ -63,8 +63,8 @@
     }
     tasks.start_soon(calls.serve, handler_by_kind)
     tasks.start_soon(_announce_row_changes, replicated_state.rows, heartbeats)
-    for part in (heartbeats, probes, instances):
-        tasks.start_soon(part.run)
+    for component in (heartbeats, probes, instances):
+        tasks.start_soon(component.run)
     return heartbeats
 
 
--- a/packages/node/src/plantainloft_node/entry/instance_registry.py
+++ b/packages/node/src/plantainloft_node/entry/instance_registry.py
@@ -69,9 +69,9 @@
         # One instance does it: all that know the same peers choose the same one.
         # The row is removed only if its version is unchanged, so an instance that
         # has registered again after a restart stays registered.
-        others = self._members.region_by_limit_sharer(anyio.current_time())
+        candidates = self._members.region_by_limit_sharer(anyio.current_time())
         if (
-            max(others, key=lambda other: rendezvous_score(name, other))
+            max(candidates, key=lambda candidate: rendezvous_score(name, candidate))
             == self._members.local_member.name
         ):
             await self._store.remove_row(row)
@@ -93,5 +93,9 @@
     try:
         return FleetMember(*msgpack.unpackb(row.content))
     except (ValueError, TypeError, msgpack.UnpackException):
-        log.warning('Fleet: row %s is not a valid instance.', row.key, extra={'kind': 'bad_row'})
+        log.warning(
+            'Fleet: instance row %s ignored: its content is malformed.',
+            row.key,
+            extra={'kind': 'bad_row'},
+        )
         return None
--- a/packages/node/src/plantainloft_node/entry/lookups.py
+++ b/packages/node/src/plantainloft_node/entry/lookups.py
@@ -28,7 +28,7 @@
         return CallerLimits()
 
     def is_idempotent(self, exchange: Exchange) -> bool:
-        """Return that the request has no side effects and may be repeated."""
+        """Return True: these requests have no side effects and may be repeated."""
         return True
 
     async def handle(self, exchange: Exchange) -> None:
--- a/packages/node/src/plantainloft_node/entry/metrics_report.py
+++ b/packages/node/src/plantainloft_node/entry/metrics_report.py
@@ -13,7 +13,7 @@
 
 __all__ = ['MetricsReport']
 
-# Organisations with their own series, to bound the size of the output.
+# Only this many organisations get series of their own, to bound the size of the output.
 MAX_ORGANISATION_SERIES = 50
 
 
@@ -48,7 +48,7 @@
             metrics.set_gauge('retry_budget_left', remaining, service=service)
         metrics.set_gauge('spilled_share', placement.spilled_share(now))
         metrics.set_gauge('quarantined_requests', len(dispatcher.crash_registry.quarantined(now)))
-        self._set_observation_gauges(now)
+        self._set_store_and_endpoint_gauges(now)
         self._set_organisation_gauges()
         return metrics.text()
 
@@ -70,7 +70,7 @@
             self._metrics.set_gauge('organisation_refused', one['refused'], organisation=name)
             self._metrics.set_gauge('organisation_fleet_used', one['fleet_used'], organisation=name)
 
-    def _set_observation_gauges(self, now: float) -> None:
+    def _set_store_and_endpoint_gauges(self, now: float) -> None:
         metrics = self._metrics
         for name, poller in self._replicated_state.pollers.items():
             metrics.set_gauge('store_followed', poller.is_connected, table=name)
--- a/packages/node/src/plantainloft_node/entry/operator_api.py
+++ b/packages/node/src/plantainloft_node/entry/operator_api.py
@@ -49,8 +49,8 @@
         return HTTPStatus.OK, self._metrics_text().encode()
 
     def _lift(self, raw: str) -> tuple[int, bytes]:
-        request = parse_fingerprint(raw)
-        if request is None:
+        fingerprint = parse_fingerprint(raw)
+        if fingerprint is None:
             return HTTPStatus.BAD_REQUEST, b'{"problem": "not a fingerprint"}'
-        lifted = self._quarantine.lift(request, anyio.current_time())
+        lifted = self._quarantine.lift(fingerprint, anyio.current_time())
         return (HTTPStatus.OK if lifted else HTTPStatus.NOT_FOUND), b'{}'
--- a/packages/node/src/plantainloft_node/entry/peer_calls.py
+++ b/packages/node/src/plantainloft_node/entry/peer_calls.py
@@ -35,8 +35,9 @@
         answer = await self._peer_connections.call(address, kind, content, timeout_s=CALL_TIMEOUT_S)
         if isinstance(answer, Unreachable):
             log.info(
-                'Fleet: no answer from %s.',
+                'Fleet: no answer from %s (%s).',
                 member.name,
+                answer.reason,
                 extra={'kind': 'news', 'fields': {'reason': answer.reason}},
             )
         return answer
--- a/packages/node/src/plantainloft_node/entry/quarantine_table.py
+++ b/packages/node/src/plantainloft_node/entry/quarantine_table.py
@@ -39,18 +39,18 @@
         self, row: StoredRecord, encoded: bytes
     ) -> VersionConflict | Unreachable | None:
         """Overwrite ``row`` if its version is unchanged in the store."""
-        outcome = await self._store.replace_row(_to_row(row), encoded)
-        if isinstance(outcome, Unreachable):
-            return outcome
-        return None if outcome else VersionConflict()
+        replaced = await self._store.replace_row(_to_row(row), encoded)
+        if isinstance(replaced, Unreachable):
+            return replaced
+        return None if replaced else VersionConflict()
 
     async def remove(self, row: StoredRecord) -> Unreachable | None:
         """Remove ``row`` if its version is unchanged in the store."""
         return await self._store.remove_row(_to_row(row))
 
 
-def _to_row(row: StoredRecord) -> StoreRow:
-    return StoreRow(QUARANTINE, row.key, row.version, row.encoded)
+def _to_row(record: StoredRecord) -> StoreRow:
+    return StoreRow(QUARANTINE, record.key, record.version, record.encoded)
 
 
 def build_quarantine(
--- a/packages/node/src/plantainloft_node/entry/replicated_state.py
+++ b/packages/node/src/plantainloft_node/entry/replicated_state.py
@@ -41,7 +41,7 @@
         ``long_poll_wait_s`` returns how long a poll of the store waits for a change.
         ``delegates_polling`` returns whether relays poll the store for this instance.
         """
-        self._is_polled_by_others = delegates_polling
+        self._delegates_polling = delegates_polling
         self.store = store
         self.endpoint_registry = EndpointRegistry(region_by_zone=region_by_zone)
         self.rows = RowReplica()
@@ -68,7 +68,7 @@
         calls failed, only an answer to one of its own calls shows when the
         store became available again.
         """
-        return self._is_polled_by_others()
+        return self._delegates_polling()
 
     def polls_successfully(self) -> bool:
         """Return whether this instance polls both tables itself and both polls succeed."""
--- a/packages/node/src/plantainloft_node/entry/row_replication.py
+++ b/packages/node/src/plantainloft_node/entry/row_replication.py
@@ -74,7 +74,7 @@
         """Request rows and instances that are missing here from a peer that has them."""
         now = anyio.current_time()
         if hint.relay_heartbeat is not None:
-            self._note_relayed_status(hint.member, hint.relay_heartbeat.store_available_for_s, now)
+            self._record_peer_uptime(hint.member, hint.relay_heartbeat.store_available_for_s, now)
         is_waiting = self._fetches_in_progress and now - self._last_fetch_at < FETCH_RETRY_AFTER_S
         if not is_waiting and (
             _lacks_rows(self._rows, hint) or _lacks_members(self._members, hint)
@@ -104,7 +104,7 @@
     def _rows_answer(
         self, newest_version_by_table: dict[str, int], *, left_out: Sequence[str]
     ) -> dict[str, Any]:
-        whole = [
+        full_tables = [
             table
             for table in self._rows.tables_needing_full_sync(newest_version_by_table)
             if table not in left_out
@@ -112,12 +112,12 @@
         known = {
             table: version
             for table, version in newest_version_by_table.items()
-            if table not in whole
+            if table not in full_tables
         }
         rows = [row for row in self._rows.rows_newer_than(known) if row.table not in left_out]
         return {
             'rows': [list(row) for row in rows],
-            'whole': {table: self._rows.newest_version_by_table[table] for table in whole},
+            'whole': {table: self._rows.newest_version_by_table[table] for table in full_tables},
             'left_out': left_out,
             'store_served_s': self._replicated_state.store_available_for_s(anyio.current_time()),
         }
@@ -133,7 +133,7 @@
             await self._fetch_members(hint.member)
         self._fetches_in_progress -= 1
 
-    def _note_relayed_status(
+    def _record_peer_uptime(
         self, member: FleetMember, available_for_s: float | None, now: float
     ) -> None:
         zone = self._members.registry.by_zone()[self._members.local_member.zone]
@@ -157,7 +157,7 @@
             self._tasks.start_soon(self._fetch_large_later, member)
 
     async def _fetch_large_later(self, member: FleetMember) -> None:
-        """Request a large configuration from a peer if the own poll does not return it.
+        """Request a large configuration from a peer if this instance's own poll does not return it.
 
         Usually the poll is about to return it, but an unresponsive store may never
         answer the poll.
@@ -181,7 +181,7 @@
             _log_malformed(member, exc)
             return ()
         now = anyio.current_time()
-        self._note_relayed_status(member, answer.get('store_served_s'), now)
+        self._record_peer_uptime(member, answer.get('store_served_s'), now)
         self._routing_state.apply_rows(fresh, now, source=member.name)
         changed = {row.table for row in fresh}
         for table in changed:
@@ -214,9 +214,9 @@
         rows = [StoreRow(*row) for row in answer['rows']]
         return self._merge(rows, answer.get('whole', {})), left_out
 
-    def _merge(self, rows: list[StoreRow], whole: dict[str, int]) -> list[StoreRow]:
-        fresh = self._rows.merge(row for row in rows if row.table not in whole)
-        for table, version in whole.items():
+    def _merge(self, rows: list[StoreRow], version_by_full_table: dict[str, int]) -> list[StoreRow]:
+        fresh = self._rows.merge(row for row in rows if row.table not in version_by_full_table)
+        for table, version in version_by_full_table.items():
             listing = RowBatch(tuple(row for row in rows if row.table == table), version)
             fresh += self._rows.merge_listing(table, listing)
         return fresh
--- a/packages/node/src/plantainloft_node/entry/store_polling.py
+++ b/packages/node/src/plantainloft_node/entry/store_polling.py
@@ -31,10 +31,10 @@
 SHORT_WAIT_INSTANCES = 24
 LONG_WAIT_S = 10.0
 # If no instance of a zone polls the endpoints successfully, the others start to
-# poll at this interval, so that each hears of the first success before it starts.
+# poll at this interval, so that each learns of the first success before it starts.
 STAGGER_S = 0.2
 MAX_STAGGERED_RANK = 10
-# After its start an instance has not yet received the reports that tell which
+# After its start an instance has not yet received the reports that say which
 # peers poll the store.
 STARTUP_GRACE_S = 1.5
 
--- a/packages/node/src/plantainloft_node/entry/store_probes.py
+++ b/packages/node/src/plantainloft_node/entry/store_probes.py
@@ -6,7 +6,7 @@
 Only the instances that cannot reach the store would send requests there. So
 after each failure a few peers are asked to probe the store. A peer that reaches
 it answers for how long the store has been available. A peer that does not
-reach it learns of the outage, before it hears of rows that expired during it.
+reach it learns of the outage, before it learns of rows that expired during it.
 """
 
 import logging
@@ -116,7 +116,7 @@
         now = anyio.current_time()
         self._store_availability.record_peer_access(since=now - available_for_s, asked_at=asked_at)
         log.info(
-            'Store: available to %s.',
+            'Store: available to %s although a call from this instance failed.',
             member.name,
             extra={'kind': 'store_probe', 'fields': {'member': member.name}},
         )
--- a/packages/node/src/plantainloft_node/forwarding.py
+++ b/packages/node/src/plantainloft_node/forwarding.py
@@ -92,7 +92,7 @@
             return None
         admission = await self.quarantine.admit(request.fingerprint())
         if isinstance(admission, Blocked):
-            return Quarantined(reason=f'{admission.crash_count} endpoints ended under it')
+            return Quarantined(reason=f'{admission.crash_count} endpoints crashed while running it')
         return None
 
     async def forward(self, config: Configuration, request: Request) -> Served | Refused | Unknown:
@@ -122,8 +122,8 @@
     async def _send_to_endpoint(
         self, name: str, address: str, request: Request
     ) -> Served | Refused | Unknown:
-        remaining = request.deadline - time.time()
-        if remaining <= 0:
+        remaining_s = request.deadline - time.time()
+        if remaining_s <= 0:
             return Refused(reason='deadline passed', retry_after_s=1)
         headers = {
             key: value for key, value in request.headers.items() if key in _FORWARDED_HEADERS
@@ -134,7 +134,7 @@
         self._loads.record_started(name)
         answer: BufferedResponse | NotSent | Failed = Failed(reason='no answer in time')
         try:
-            with anyio.move_on_after(remaining):
+            with anyio.move_on_after(remaining_s):
                 answer = await self._client.send(
                     *_build_upstream_request(address, request, headers)
                 )
@@ -167,11 +167,11 @@
 
 
 def _endpoint_attempt(name: str, address: str, request: Request) -> EndpointAttempt:
-    start = int(time.time() / MIN_CRASH_INTERVAL_S)
+    interval_number = int(time.time() / MIN_CRASH_INTERVAL_S)
     return EndpointAttempt(
         fingerprint=request.fingerprint(),
         request_id=request.headers.get('idempotency-key', ''),
-        incarnation=f'{name}@{start}',
+        incarnation=f'{name}@{interval_number}',
         address=address.removeprefix('http://'),
     )
 
--- a/packages/node/src/plantainloft_node/membership.py
+++ b/packages/node/src/plantainloft_node/membership.py
@@ -2,9 +2,9 @@
 
 Each node writes a row ``members/{name}`` when it starts, when it leaves and
 occasionally in between. The rows only tell a starting node which peers to contact.
-Liveness is decided by the probes of the membership list within a second or two and without the
-table, so a killed instance is removed from look-ups also while the table service is
-down.
+Liveness is decided by the probes of the membership list, within a second or two
+and without the table, so a killed instance is removed from look-ups also while the
+table service is down.
 """
 
 import logging
@@ -51,7 +51,7 @@
 
     async def run(self) -> None:
         """Join, then renew this node's row several times per lease."""
-        while not (await self._read_rows() or await self._fetch_roster_from_seeds()):
+        while not (await self._read_rows() or await self._fetch_members_from_seeds()):
             await anyio.sleep(JOIN_RETRY_S)
         while True:
             await self._write_row()
@@ -95,7 +95,7 @@
         self._gossip.membership_list.apply_updates(updates, time.monotonic())
         return True
 
-    async def _fetch_roster_from_seeds(self) -> bool:
+    async def _fetch_members_from_seeds(self) -> bool:
         # The table service can be down for a long time. A node that starts during
         # an outage gets the members from a seed peer of its settings; otherwise its
         # look-ups would return only the node itself.
--- a/packages/node/src/plantainloft_node/node.py
+++ b/packages/node/src/plantainloft_node/node.py
@@ -120,7 +120,7 @@
             leave_s=settings.leave_s,
         )
         self.loads = EndpointLoadTracker(http=http, poll_s=settings.load_poll_s)
-        self.batcher = TxnBatcher(client=table, min_interval_s=settings.claim_pace_s)
+        self.batcher = TxnBatcher(client=table, min_interval_s=settings.claim_interval_s)
         self._index_versions = (-1, -1)
         self._index = LookupIndex(config=self.follower.config, members=[])
         self.endpoint_selector = _make_endpoint_selector(settings, loads=self.loads, claims=claims)
@@ -156,8 +156,8 @@
     async def adopt_splits(self) -> None:
         """Copy the current traffic splits of a peer in this region, if there is one.
 
-        Otherwise a node that restarts during a drain would send all its traffic back
-        to the region that is being drained.
+        Otherwise a node that restarts during an evacuation would send all its traffic
+        back to the region that is being evacuated.
         """
         with anyio.move_on_after(ADOPTION_TIMEOUT_S):
             while len(self.membership_list.live_members()) == 1 or not self.follower.config.version:
--- a/packages/node/src/plantainloft_node/peering/gossip.py
+++ b/packages/node/src/plantainloft_node/peering/gossip.py
@@ -1,9 +1,9 @@
 """Gossip rounds: probe a few peers and exchange membership and versions with them.
 
-Every ``ROUND_INTERVAL_S`` a node sends a heartbeat to up to ``FANOUT`` peers in turn. The
-heartbeat and its answer carry the active configuration version, so a version that
-one node has read reaches all nodes within a few rounds. A node that learns of a
-new version starts its next round immediately.
+Every ``ROUND_INTERVAL_S`` a node sends a heartbeat to up to ``FANOUT`` peers in
+turn. The heartbeat and its answer carry the active configuration version, so a
+version that one node has read reaches all nodes within a few rounds. A node that
+learns of a new version starts its next round immediately.
 """
 
 import logging
@@ -57,7 +57,7 @@
         crash_registry: CrashRegistry,
         usage_report: Callable[[float], Mapping[int, OrganisationUsage]],
     ) -> None:
-        """``uses`` returns the usage of organisations' limits on this node."""
+        """``usage_report`` returns the usage of organisations' limits on this node."""
         self.membership_list = membership_list
         self._claims = claims
         self._peer_connections = peer_connections
--- a/packages/node/src/plantainloft_node/streams/frames.py
+++ b/packages/node/src/plantainloft_node/streams/frames.py
@@ -32,8 +32,8 @@
     """Counts the bytes sent to and received from peers by this node."""
 
     def __init__(self) -> None:
-        self.sent = 0
-        self.received = 0
+        self.sent_bytes = 0
+        self.received_bytes = 0
 
 
 class FrameStream:
@@ -52,16 +52,16 @@
         # both frames.
         async with self._send_lock:
             await self._stream.send(packed)
-        self._peer_traffic.sent += len(packed)
+        self._peer_traffic.sent_bytes += len(packed)
 
     async def receive(self) -> Frame:
         """Return the next frame; raises anyio's stream errors."""
         while True:
-            packed = next(self._unpacker, None)
-            if packed is not None:
-                return Frame(kind=packed[0], call=packed[1], content=packed[2])
+            unpacked = next(self._unpacker, None)
+            if unpacked is not None:
+                return Frame(kind=unpacked[0], call=unpacked[1], content=unpacked[2])
             received = await self._stream.receive()
-            self._peer_traffic.received += len(received)
+            self._peer_traffic.received_bytes += len(received)
             self._unpacker.feed(received)
 
     async def close(self) -> None:
--- a/packages/node/src/plantainloft_node/streams/listener.py
+++ b/packages/node/src/plantainloft_node/streams/listener.py
@@ -75,4 +75,4 @@
     try:
         await stream.send(Frame(kind=REPLY, call=frame['call'], content=content))
     except STREAM_ERRORS:
-        log.info('Peers: the connection closed before the answer was sent.')
+        log.info('Peers: answer to a %s call not sent: the connection closed.', frame['kind'])
