--- a/packages/node/src/plantainloft_node/entry/replicated_state.py
+++ b/packages/node/src/plantainloft_node/entry/replicated_state.py
@@ -11,9 +11,9 @@
 
 __all__ = ['ReplicatedState']
 
-# Longer times of uninterrupted service are reported as this; no decision depends
+# Longer availability of the store is reported as this; no decision depends
 # on the difference.
-MAX_SERVED_S = 3600.0
+MAX_REPORTED_AVAILABILITY_S = 3600.0
 # Endpoints change in bursts (a release, the restart of a zone). A pause after
 # each answer lets the next poll return several changes at once. It is short
 # enough to notice a leaving endpoint well within the 2.5 s for which it keeps
@@ -41,7 +41,7 @@
         ``long_poll_wait_s`` returns how long a poll of the store waits for a change.
         ``delegates_polling`` returns whether relays poll the store for this instance.
         """
-        self._is_polled_by_others = delegates_polling
+        self._delegates_polling = delegates_polling
         self.store = store
         self.endpoint_registry = EndpointRegistry(region_by_zone=region_by_zone)
         self.rows = RowReplica()
@@ -68,7 +68,7 @@
         calls failed, only an answer to one of its own calls shows when the
         store became available again.
         """
-        return self._is_polled_by_others()
+        return self._delegates_polling()
 
     def polls_successfully(self) -> bool:
         """Return whether this instance polls both tables itself and both polls succeed."""
@@ -83,4 +83,6 @@
         ``None`` while it is not.
         """
         available_for_s = self.routing_state.store_availability.available_for_s(now)
-        return None if available_for_s is None else min(available_for_s, MAX_SERVED_S)
+        return (
+            None if available_for_s is None else min(available_for_s, MAX_REPORTED_AVAILABILITY_S)
+        )
