--- a/packages/node/src/plantainloft_node/admission.py
+++ b/packages/node/src/plantainloft_node/admission.py
@@ -39,9 +39,8 @@
         exceeded = self.limiter.admit(organisation, time.monotonic())
         if exceeded is not None:
             return Limited(
-                reason=f'{exceeded.organisation} is over its limit: {exceeded.used} requests of a'
-                f' share of {exceeded.share:.1f} at this instance,'
-                f' {exceeded.fleet.used} in the fleet',
+                reason=f'{exceeded.organisation} is over its limit: {exceeded.used} of a share of'
+                f' {exceeded.share:.1f} here, {exceeded.fleet.used} in all',
                 retry_after_s=exceeded.retry_after_s,
             )
         return request._replace(organisation=organisation)
--- a/packages/node/src/plantainloft_node/forwarding.py
+++ b/packages/node/src/plantainloft_node/forwarding.py
@@ -92,7 +92,7 @@
             return None
         admission = await self.quarantine.admit(request.fingerprint())
         if isinstance(admission, Blocked):
-            return Quarantined(reason=f'{admission.crash_count} endpoints crashed while running it')
+            return Quarantined(reason=f'{admission.crash_count} endpoints ended under it')
         return None
 
     async def forward(self, config: Configuration, request: Request) -> Served | Refused | Unknown:
