--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -355,7 +355,7 @@
         await wait_until_equal(lambda: self.get_status(self.readiness_address, '/v1/ready'), 200)
 
     async def get_status(self, address: str, path: str) -> int:
-        """GET ``path`` and return the status, or 0 without an answer."""
+        """GET ``path`` and return the status code, or 0 if nothing was received."""
         answer = await http_get(address, path)
         return int(answer.split(b' ', 2)[1]) if answer else 0
 
@@ -433,10 +433,10 @@
         await connection.send(SIGNED_OK_RESPONSE)
 
 
-async def requests_per_endpoint(
+async def send_request_and_count(
     entry_deployment: EntryDeployment, entry: EntryProcessHandle
 ) -> tuple[int, ...]:
-    """Send one request to ``entry`` and return how many requests each endpoint received."""
+    """Send one request to ``entry`` and return how many each endpoint received."""
     counts_before = [len(endpoint.requests) for endpoint in entry_deployment.endpoints]
     await http_get(
         entry.caller_address, '/files/1', extra_headers='X-Plantainloft-Request-Id: r\r\n'
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -19,9 +19,9 @@
 
 
 def test_late_requests_consume_the_error_budget() -> None:
-    """Guards against counting only requests that were not served as bad.
+    """Guards against a report that counts only unserved requests as bad.
 
-    A service that answered every request too late then showed burn rate 0.
+    It showed burn rate 0 for a service that answered every request too late.
     """
     (row,) = compute_burn_rates([_status(1000, 0, late=3)])
     assert (row.bad, round(row.burn_rate, 2)) == (3, 3.0)
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -15,11 +15,11 @@
 
 
 def record(kind: str, *, at: float, **fields: object) -> logging.LogRecord:
-    made = logging.LogRecord('x', logging.INFO, 'x.py', 1, 'Front: request.', None, None)
-    made.created = at
-    made.kind = kind
-    made.fields = fields
-    return made
+    log_record = logging.LogRecord('x', logging.INFO, 'x.py', 1, 'Front: request.', None, None)
+    log_record.created = at
+    log_record.kind = kind
+    log_record.fields = fields
+    return log_record
 
 
 def test_a_line_is_json_with_its_fields() -> None:
@@ -37,8 +37,8 @@
     assert 4 <= len(written) <= 12
     last = record('answered', at=200.0)
     assert rate_limit.filter(last)
-    counted = sum(line.left_out for line in [*written, last])  # type: ignore[attr-defined]
-    assert len(written) + counted == 400
+    suppressed = sum(line.left_out for line in [*written, last])  # type: ignore[attr-defined]
+    assert len(written) + suppressed == 400
 
 
 def test_refusals_are_not_sampled() -> None:
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -20,7 +20,7 @@
 
 BORN_MS = 1_777_518_000_301
 # The path of each required field of an endpoint row.
-FIELDS = (
+REQUIRED_FIELDS = (
     ('address',),
     ('info',),
     ('status',),
@@ -43,12 +43,12 @@
     return StoreRow(table=ENDPOINTS, key='i-1', version=1, content=content)
 
 
-def decoded(document: object) -> object:
+def decode(document: object) -> object:
     return decode_row(row(json.dumps(document).encode()))
 
 
-def row_with(path: tuple[str, ...], value: object) -> dict[str, Any]:
-    """Return a valid row with the field at ``path`` replaced by ``value``."""
+def document_with(path: tuple[str, ...], value: object) -> dict[str, Any]:
+    """Return a valid endpoint document with the field at ``path`` replaced by ``value``."""
     document = endpoint_document('10.0.0.1:80')
     parent = document
     for name in path[:-1]:
@@ -58,38 +58,40 @@
 
 
 def test_the_start_time_of_an_endpoint_is_decoded() -> None:
-    listed = decoded({**endpoint_document('10.0.0.1:80'), 'born': BORN_MS})
+    listed = decode({**endpoint_document('10.0.0.1:80'), 'born': BORN_MS})
     assert isinstance(listed, EndpointListed)
     assert listed.record.born_ms == BORN_MS
     assert listed.record.incarnation != listed.record._replace(born_ms=BORN_MS + 1).incarnation
 
 
 def test_a_row_without_a_start_time_is_accepted() -> None:
-    assert isinstance(decoded(endpoint_document('10.0.0.1:80')), EndpointListed)
+    assert isinstance(decode(endpoint_document('10.0.0.1:80')), EndpointListed)
 
 
-@pytest.mark.parametrize('path', FIELDS)
+@pytest.mark.parametrize('path', REQUIRED_FIELDS)
 def test_a_row_with_a_missing_field_is_rejected(path: tuple[str, ...]) -> None:
     document = endpoint_document('10.0.0.1:80')
     parent = document
     for name in path[:-1]:
         parent = parent[name]
     parent.pop(path[-1])
-    assert isinstance(decoded(document), EndpointUnreadable)
+    assert isinstance(decode(document), EndpointUnreadable)
 
 
-@given(value=NOT_TEXT, path=st.sampled_from([path for path in FIELDS if path[-1] != 'slots']))
+@given(
+    value=NOT_TEXT, path=st.sampled_from([path for path in REQUIRED_FIELDS if path[-1] != 'slots'])
+)
 def test_a_field_of_the_wrong_type_is_rejected(value: object, path: tuple[str, ...]) -> None:
     if path[-1] == 'seq' and type(value) is int and value >= 0:
         return
-    assert isinstance(decoded(row_with(path, value)), EndpointUnreadable)
+    assert isinstance(decode(document_with(path, value)), EndpointUnreadable)
 
 
 @given(value=NOT_NON_NEGATIVE_INTEGER)
 def test_slots_and_start_time_must_be_non_negative_integers(value: object) -> None:
     """``true`` is rejected too, although ``bool`` is a subclass of ``int`` in Python."""
-    assert isinstance(decoded(row_with(('info', 'slots'), value)), EndpointUnreadable)
-    assert isinstance(decoded(row_with(('born',), value)), EndpointUnreadable)
+    assert isinstance(decode(document_with(('info', 'slots'), value)), EndpointUnreadable)
+    assert isinstance(decode(document_with(('born',), value)), EndpointUnreadable)
 
 
 @pytest.mark.parametrize(
@@ -109,7 +111,7 @@
     ],
 )
 def test_an_invalid_value_is_rejected(path: tuple[str, ...], value: object) -> None:
-    assert isinstance(decoded(row_with(path, value)), EndpointUnreadable)
+    assert isinstance(decode(document_with(path, value)), EndpointUnreadable)
 
 
 @given(content=st.binary(max_size=200))
--- a/tests/test_from_id_to_cause.py
+++ b/tests/test_from_id_to_cause.py
@@ -22,13 +22,13 @@
 pytestmark = pytest.mark.anyio
 
 
-def timeline(entry_deployment: EntryDeployment, request: str) -> list[str]:
-    texts = [entry.log_path.read_text() for entry in entry_deployment.entry_processes]
-    return explain_request(request, parse_log_lines(texts))
+def timeline(entry_deployment: EntryDeployment, request_id: str) -> list[str]:
+    logs = [entry.log_path.read_text() for entry in entry_deployment.entry_processes]
+    return explain_request(request_id, parse_log_lines(logs))
 
 
-def request_id_header(request: str) -> str:
-    return f'X-Plantainloft-Request-Id: {request}\r\n'
+def request_id_header(request_id: str) -> str:
+    return f'X-Plantainloft-Request-Id: {request_id}\r\n'
 
 
 async def test_refused_because_every_endpoint_is_full(entry_deployment: EntryDeployment) -> None:
@@ -47,10 +47,12 @@
     entry = entry_deployment.entry_processes[0]
 
     async def has_endpoint_document() -> bool:
-        rows = [line['row_version'] for line in entry.log_records() if line.get('row') == 'i-desk']
+        versions = [
+            line['row_version'] for line in entry.log_records() if line.get('row') == 'i-desk'
+        ]
         return (
-            bool(rows)
-            and max(rows) == entry_deployment.store.rows[(ENDPOINT_TABLE, 'i-desk')]['ver']
+            bool(versions)
+            and max(versions) == entry_deployment.store.rows[(ENDPOINT_TABLE, 'i-desk')]['ver']
         )
 
     await wait_until_equal(has_endpoint_document, True)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -53,8 +53,8 @@
 def test_an_invalid_list_is_rejected(pytester: pytest.Pytester, entries: list[str]) -> None:
     """Guards against new failures that go unnoticed.
 
-    It happens when an entry names a test that has since been renamed, and when
-    the list has grown too long to be read.
+    They do when an entry names a test that has since been renamed, and when the
+    list has grown too long to be read. An entry that lacks a field is rejected too.
     """
     assert run_with_list(pytester, *entries).ret not in (
         pytest.ExitCode.OK,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,8 +16,8 @@
     follows_declarations,
     http_get,
     make_configuration,
-    requests_per_endpoint,
     running_store,
+    send_request_and_count,
     wait_until_equal,
 )
 
@@ -128,8 +128,8 @@
     entry_deployment.store_proxies[0].start_refusing()
     await wait_until_equal(lambda: follows_declarations(first), False)
     entry_deployment.store.put(OPERATOR_TABLE, 'config', make_configuration(4, service='other'))
-    await wait_until_equal(lambda: requests_per_endpoint(entry_deployment, second), (0, 1))
-    await wait_until_equal(lambda: requests_per_endpoint(entry_deployment, first), (0, 1))
+    await wait_until_equal(lambda: send_request_and_count(entry_deployment, second), (0, 1))
+    await wait_until_equal(lambda: send_request_and_count(entry_deployment, first), (0, 1))
     assert not await follows_declarations(first)
 
 
@@ -143,7 +143,7 @@
     second._log_file = second.log_path.open('wb')
     second.start()
     await second.wait_until_ready()
-    assert await requests_per_endpoint(entry_deployment, second) == (1, 0)
+    assert await send_request_and_count(entry_deployment, second) == (1, 0)
 
 
 async def test_a_graceful_stop_finishes_requests_and_removes_the_address(
--- a/tests/test_polling.py
+++ b/tests/test_polling.py
@@ -8,8 +8,8 @@
 from plantainloft_platform.store import CALL_TIMEOUT_S
 
 NOW = 1000.0
-# From this long after an outage, an endpoint must get no more requests this long
-# after its departure was acknowledged.
+# Once the store has been back for RECOVERY_S after an outage, an endpoint must get no
+# requests later than MAX_DEPARTURE_DELAY_S after its departure was acknowledged.
 RECOVERY_S = 4.0
 MAX_DEPARTURE_DELAY_S = 2.5
 
@@ -18,15 +18,15 @@
     return FleetMember(f'e{number}', 1, 'ankara', 'a', f'e{number}:80', f'e{number}:90')
 
 
-def wait_by_instance(count: int) -> list[float]:
+def poll_waits(count: int) -> list[float]:
     """Return the poll wait of each of ``count`` instances that all hear each other."""
-    found = []
+    waits = []
     for number in range(count):
         members = FleetMembership(local_member=member(number))
         for other in range(count):
             members.record_heartbeat(Heartbeat(member(other), True, False, {}, {}), NOW)
-        found.append(poll_wait_s(members, NOW))
-    return found
+        waits.append(poll_wait_s(members, NOW))
+    return waits
 
 
 def test_a_lost_poll_ends_in_time_to_notice_a_leaving_endpoint() -> None:
@@ -41,13 +41,13 @@
     assert (
         longest_lost_poll_s + POLL_PAUSE_S_BY_TABLE[ENDPOINTS] <= RECOVERY_S + MAX_DEPARTURE_DELAY_S
     )
-    assert wait_by_instance(12) == [SHORT_WAIT_S] * 12
+    assert poll_waits(12) == [SHORT_WAIT_S] * 12
 
 
 def test_in_a_large_fleet_a_fixed_number_uses_the_short_wait() -> None:
-    found = wait_by_instance(72)
-    assert found.count(SHORT_WAIT_S) == 24
-    assert found.count(LONG_WAIT_S) == 48
+    waits = poll_waits(72)
+    assert waits.count(SHORT_WAIT_S) == 24
+    assert waits.count(LONG_WAIT_S) == 48
 
 
 def test_an_instance_without_heartbeats_uses_the_short_wait() -> None:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -46,8 +46,8 @@
     return sorted(msgpack.unpackb(row.content or b'')[0] for row in listed.rows)
 
 
-async def register(store: PlatformStore, one: FleetMember) -> None:
-    await store.put_row(INSTANCES, one.caller_address, msgpack.packb(list(one)))
+async def register(store: PlatformStore, registered: FleetMember) -> None:
+    await store.put_row(INSTANCES, registered.caller_address, msgpack.packb(list(registered)))
 
 
 @pytest.mark.parametrize('delegates', [False, True])
@@ -84,7 +84,7 @@
         )
         row_replication.on_heartbeat(Heartbeat(member('e2'), True, False, {'endpoints': 9}, {}))
         with anyio.fail_after(5):
-            while not any(getattr(line, 'kind', '') == 'bad_news' for line in caplog.records):
+            while not any(getattr(record, 'kind', '') == 'bad_news' for record in caplog.records):
                 await anyio.sleep(0.05)
 
 
@@ -107,16 +107,16 @@
     """Regression test: the list of instances grew with every replaced machine.
 
     Nothing removed the rows of instances that never came back. In this test one
-    instance is long gone and one was heard recently. The local one is not listed,
-    as after a partition so long that its peers deregistered it.
+    instance is long gone and one has sent a heartbeat recently. The local instance
+    is not listed, as after a partition so long that its peers deregistered it.
     """
     async with running_store() as (standin, tasks):
         settings = entry_settings(standin.address)
         store = PlatformStore(address=standin.address)
         members = FleetMembership(local_member=local_member(settings))
         now = anyio.current_time()
-        # The names decide which live instance deregisters others. Choose a name for
-        # which it is the local one.
+        # The name of the instance that is gone decides which live instance deregisters
+        # it. Choose a name for which that is the local instance.
         gone = next(
             name
             for name in map(str, range(9))
@@ -132,4 +132,4 @@
         with anyio.fail_after(10):
             while await listed_names(store) != ['e1', 'e2']:
                 await anyio.sleep(0.05)
-        assert gone not in {one.name for one in members.peers()}
+        assert gone not in {peer.name for peer in members.peers()}
