--- a/tests/test_expecting.py
+++ b/tests/test_expecting.py
@@ -43,7 +43,7 @@
 
 @pytest.fixture
 def endpoint_registry() -> EndpointRegistry:
-    """Return one endpoint in the own region and one in another, both idle.
+    """Return a registry of two idle endpoints: one in the own region, one in another.
 
     Processing takes 0.15 s if the object is cached, 0.48 s otherwise.
     """
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -104,7 +104,7 @@
 async def test_outdated_or_incomplete_peer_never_reverts_a_node(table_client: TableClient) -> None:
     """A node must not revert to an earlier configuration.
 
-    This happens if it trusts a peer to deliver the version it announced. The peer here
+    It would if it trusted a peer to deliver the version that it announced. The peer here
     announces version 9 to a node at version 2, but returns the document of version 1
     and changes with a gap.
     """
@@ -127,7 +127,7 @@
 ) -> None:
     """A node that restarts during a table outage must not refuse all traffic.
 
-    This happens if the table service is the only source of configuration. The table is
+    It would if the table service were its only source of configuration. The table is
     down here, the node starts without configuration and a peer announces version 7.
     """
     table.faults = Faults(mode='down')
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,8 +9,8 @@
 the removal of its row, 4 s or more after an outage. All instances learned of the
 removal within 10 ms from the store, or 0.35 s later from a peer. The endpoint
 still got requests for up to 2.35 s, because a missing row was treated as expired
-for 2.3 s from the moment of learning of it. Without that grace period the rule
-was broken in none of three runs, with it in five of eighteen.
+for 2.3 s from the moment of learning of it. Without that grace period the limit
+of 2.5 s was exceeded in none of three runs, with it in five of eighteen.
 """
 
 import itertools
--- a/tests/test_organisations.py
+++ b/tests/test_organisations.py
@@ -36,10 +36,10 @@
 
 
 def organisation_with_keys(
-    *keys: bytes, name: str = 'ankara-bar', **terms: object
+    *keys: bytes, name: str = 'ankara-bar', **settings: object
 ) -> OrganisationIndex:
     digests = frozenset(digest_key(key) for key in keys)
-    return build_organisation_index([Organisation(name, digests, **terms)])  # type: ignore[arg-type]
+    return build_organisation_index([Organisation(name, digests, **settings)])  # type: ignore[arg-type]
 
 
 def table_with_organisations(organisations: OrganisationIndex, *, version: int = 1) -> RouteTable:
@@ -229,6 +229,6 @@
     stored = replace_keys_with_digests(
         document({'api_keys': ['k-secret']}, {'api_keys': ['k-secret']})
     )
-    refused = decode_row(config_row(stored))
-    assert isinstance(refused, Invalid)
-    assert digest_key(b'k-secret') in refused.problems[0]
+    decoded = decode_row(config_row(stored))
+    assert isinstance(decoded, Invalid)
+    assert digest_key(b'k-secret') in decoded.problems[0]
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -240,8 +240,8 @@
 
 
 def test_caller_with_credentials_is_the_same_from_any_address() -> None:
-    known = {'credentials': (b'', b'key')}
-    assert request(**known) == request(address='10.9.9.9', **known)  # type: ignore[arg-type]
+    caller = {'credentials': (b'', b'key')}
+    assert request(**caller) == request(address='10.9.9.9', **caller)  # type: ignore[arg-type]
     assert request(host=b'DESK.example') == request()
 
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -74,9 +74,12 @@
         target_region_shares(own_region='ankara', slots=SLOTS, demand=even_demand(50.0)), SLOTS
     )
     assert shares.region_of('some key') == 'ankara'
-    without = {**SLOTS, 'ankara': 0.0}
+    slots_without_ankara = {**SLOTS, 'ankara': 0.0}
     shares.update(
-        target_region_shares(own_region='ankara', slots=without, demand=even_demand(50.0)), without
+        target_region_shares(
+            own_region='ankara', slots=slots_without_ankara, demand=even_demand(50.0)
+        ),
+        slots_without_ankara,
     )
     assert shares.region_of('some key') != 'ankara'
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,9 +14,9 @@
 
 def test_every_problem_is_reported_by_option() -> None:
     text = '[node]\nname = x\n[platform]\ntimeout_ms = -1\n[steering]\npolicy = magic\n'
-    checked = parse_settings(text)
-    assert isinstance(checked, Invalid)
-    assert checked.problems == (
+    parsed = parse_settings(text)
+    assert isinstance(parsed, Invalid)
+    assert parsed.problems == (
         '[node] region: missing',
         '[node] zone: missing',
         '[node] listen: missing',
@@ -29,6 +29,6 @@
 
 
 def test_unknown_option_is_a_problem() -> None:
-    checked = parse_settings(DEFAULT_SETTINGS_INI + '\n[steering]\npolcy = nearest\n')
-    assert isinstance(checked, Invalid)
-    assert checked.problems == ('[steering] polcy: unknown option',)
+    parsed = parse_settings(DEFAULT_SETTINGS_INI + '\n[steering]\npolcy = nearest\n')
+    assert isinstance(parsed, Invalid)
+    assert parsed.problems == ('[steering] polcy: unknown option',)
