--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -32,7 +32,7 @@
 LOOKUPS = Workload('lookups', 215.0, 0.48, 0.37, 2.5, 2, 1.0, 53)
 BURST_S = (4.0, 7.0)
 SLOW_S = (5.0, 12.0)
-SLOW_FACTOR = 5.0
+SLOWDOWN_FACTOR = 5.0
 SEEDS = 3
 PROCESSES = 2
 
@@ -70,8 +70,8 @@
     return 2.5 if BURST_S[0] < now < BURST_S[1] else 1.0
 
 
-def _slowdown(number: int, now: float) -> float:
-    return SLOW_FACTOR if number == 1 and SLOW_S[0] < now < SLOW_S[1] else 1.0
+def _slowdown(endpoint_number: int, now: float) -> float:
+    return SLOWDOWN_FACTOR if endpoint_number == 1 and SLOW_S[0] < now < SLOW_S[1] else 1.0
 
 
 def loads() -> list[Load]:
@@ -89,13 +89,13 @@
     ]
 
 
-def _first_with_room(group: Any, wanted: Any, now: float) -> Any:
-    """Return the first endpoint in rank order with a free slot, warm or not."""
-    for rank, state in enumerate(group):
+def _first_with_room(candidates: Any, request: Any, now: float) -> Any:
+    """Return the first of ``candidates``, in rank order, with a free slot, warm or not."""
+    for rank, state in enumerate(candidates):
         load = state.load(now)
         if load < state.record.slots * (selection.SPILL_MAX_USED_FRACTION if rank else 1.0):
             return selection.Selection(endpoint=state, load=load, rank=rank)
-    return selection.earliest_completion(group[:1], wanted, now)
+    return selection.earliest_completion(candidates[:1], request, now)
 
 
 def mechanisms() -> list[Mechanism]:
@@ -116,12 +116,12 @@
         Mechanism('demand of other instances', load_simulation, 'demand_by_region', _no_demand),
         Mechanism('candidates in other regions', placement, 'REMOTE_CANDIDATES', 0),
         Mechanism('queues by priority', selection, 'QUEUE_RATIO_BY_PRIORITY', (1.0, 1.0, 1.0)),
-        Mechanism('refusal by expected time', selection, '_worst_case_answer_s', _zero_wait),
+        Mechanism('refusal by worst-case time', selection, '_worst_case_answer_s', _zero_answer_s),
         Mechanism('retries', RetryBudget, 'try_acquire', never),
     ]
 
 
-def _own_region(placement_: placement.Placement, wanted: object) -> str:
+def _own_region(placement_: placement.Placement, request: object) -> str:
     return placement_.settings.region
 
 
@@ -129,7 +129,7 @@
     return {}
 
 
-def _zero_wait(state: object, load: float) -> float:
+def _zero_answer_s(state: object, load: float) -> float:
     return 0.0
 
 
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -3,7 +3,8 @@
 Run: ``.venv/bin/python bench/claims.py``. One idempotency store claims and records
 idempotency keys at a steady rate in an in-process table stand-in that takes
 5 ms per transaction. Prints the table's write calls per second and the
-latency of a claim, with batching and without (``pace 0``, one row per call).
+latency of a claim, without batching (no minimum interval between calls, one row
+per call) and with it.
 """
 
 import time
@@ -60,7 +61,7 @@
         tasks.cancel_scope.cancel()
     elapsed = time.perf_counter() - started
     print(
-        f'rate={rate}/s pace_ms={min_interval_s * 1000:.0f} rows_per_write<={rows} '
+        f'rate={rate}/s min_interval_ms={min_interval_s * 1000:.0f} rows_per_write<={rows} '
         f'writes_per_s={table.writes / elapsed:.1f} elapsed_s={elapsed:.1f} '
         f'claim_p50_ms={latency_histogram.get_value_at_percentile(50) / 1000:.1f} '
         f'claim_p99_ms={latency_histogram.get_value_at_percentile(99) / 1000:.1f}'
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -6,9 +6,10 @@
 others. One endpoint begins to drain on its own and another one is killed.
 Prints latency per service, the lowest sampled headroom of any region (free
 slots over slots), how long the draining endpoint was still sent requests, and
-how many requests were refused, lost (no answer, refusal or stated unknown),
-run twice or answered with a wrong body. Then prints the largest fraction of a
-service's requests that changed region between two adjacent 10 s windows.
+how many requests were refused, lost (neither answered nor refused nor reported
+as unknown), run twice or answered with a wrong body. Then prints the largest
+fraction of a service's requests that changed region between two adjacent 10 s
+windows.
 """
 
 import collections
@@ -64,15 +65,15 @@
         """Send the load, cause the failures and sample headroom."""
         limits = httpx.Limits(max_connections=400)
         async with httpx.AsyncClient(timeout=10, limits=limits) as http:
-            entries = await self._look_up(http)
+            entries_by_zone = await self._look_up_entries(http)
             self.started = time.monotonic()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._cause_failures, http)
                 tasks.start_soon(self._sample_headroom, http)
-                await self._send_load(http, entries)
+                await self._send_load(http, entries_by_zone)
                 tasks.cancel_scope.cancel()
 
-    async def _look_up(self, http: httpx.AsyncClient) -> dict[str, list[str]]:
+    async def _look_up_entries(self, http: httpx.AsyncClient) -> dict[str, list[str]]:
         entry_url = next(iter(self.cluster.entries_by_name.values()))
         entries_by_zone = {}
         for region in self.deployment.regions:
@@ -82,16 +83,18 @@
                 entries_by_zone[zone] = answer.json()['entry_instances'][:2]
         return entries_by_zone
 
-    async def _send_load(self, http: httpx.AsyncClient, entries: dict[str, list[str]]) -> None:
+    async def _send_load(
+        self, http: httpx.AsyncClient, entries_by_zone: dict[str, list[str]]
+    ) -> None:
         rng = random.Random(11)
-        zones = list(entries)
+        zones = list(entries_by_zone)
         weighted_zones = zones[:2] * 2 + zones[2:]
         services = [plan.name for plan in self.deployment.services]
         weights = [plan.per_zone for plan in self.deployment.services]
         async with anyio.create_task_group() as tasks:
             for index in range(DURATION_S * RATE_PER_S):
                 await anyio.sleep(max(0, self.started + index / RATE_PER_S - time.monotonic()))
-                entry = rng.choice(entries[rng.choice(weighted_zones)])
+                entry = rng.choice(entries_by_zone[rng.choice(weighted_zones)])
                 service = rng.choices(services, weights)[0]
                 post = rng.random() < POST_FRACTION
                 tasks.start_soon(self._send_request, http, entry, service, post, f'body-{index}')
@@ -126,7 +129,6 @@
         while True:
             used: collections.Counter[str] = collections.Counter()
             slots: collections.Counter[str] = collections.Counter()
-
             async with anyio.create_task_group() as tasks:
                 for name, url in self.cluster.endpoints_by_name.items():
                     tasks.start_soon(self._add_usage, http, name, url, used, slots)
@@ -184,7 +186,7 @@
             before_counts[name] / len(before) - after_counts[name] / len(after)
             for name in before_counts
         )
-        largest = max(largest, sum(max(0.0, share) for share in lost_fractions))
+        largest = max(largest, sum(max(0.0, fraction) for fraction in lost_fractions))
     return largest
 
 
@@ -195,7 +197,8 @@
     print(
         f'{run.deployment.name} {policy}: sent={len(run.sent)} served={outcomes["served"]} '
         f'refused={outcomes["refused"]} unknown={outcomes["unknown"]} lost={outcomes["lost"]} '
-        f'doubled={run.duplicate_runs()} not_whole={sum(not one.body_intact for one in run.sent)} '
+        f'run_twice={run.duplicate_runs()} '
+        f'wrong_body={sum(not one.body_intact for one in run.sent)} '
         f'least_headroom={run.min_headroom:.2f} '
         f'drain_offered_s={executions["offered_after_drain_s"]:.2f} '
         f'drain_refusals={executions["refused_draining"]}'
@@ -208,7 +211,7 @@
         print(
             f'  {plan.name}: p50_ms={latency_histogram.get_value_at_percentile(50) / 1000:.1f} '
             f'p99_ms={latency_histogram.get_value_at_percentile(99) / 1000:.1f} '
-            f'worst_move_10s={largest_shift(run.sent, plan.name):.3f}'
+            f'largest_shift_10s={largest_shift(run.sent, plan.name):.3f}'
         )
 
 
--- a/bench/crash_plays.py
+++ b/bench/crash_plays.py
@@ -36,10 +36,14 @@
         ):
             exceeded += 1
             print(
-                f'seed {seed}: later {late_requests}, shut out for {blocked_times_s[-1]:.1f} s',
+                f'seed {seed}: late fatal requests by path: {late_requests}, '
+                f'background path blocked for {blocked_times_s[-1]:.1f} s',
                 flush=True,
             )
-    print(f'{seeds} seeds, {exceeded} not allowed; longest shut out {max(blocked_times_s):.1f} s')
+    print(
+        f'{seeds} seeds, {exceeded} over a limit; '
+        f'background path blocked for at most {max(blocked_times_s):.1f} s'
+    )
 
 
 if __name__ == '__main__':
--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -25,7 +25,7 @@
 BACKGROUND_INTERVAL_S = 0.005
 RESTART_DELAY_S = 3.0
 PROPAGATION_S = 4.0
-THIRD_CRASH = 2
+THIRD_CRASH_INDEX = 2
 FATAL_PATH = 'fatal'
 DEPLOYMENT = Deployment(
     name='crashing',
@@ -113,13 +113,15 @@
         finally:
             cluster.processes.stop_all()
     crashes = load.crashes
-    late_crashes = [at for at in crashes[THIRD_CRASH:] if at > crashes[THIRD_CRASH] + PROPAGATION_S]
+    late_crashes = [
+        at for at in crashes[THIRD_CRASH_INDEX:] if at > crashes[THIRD_CRASH_INDEX] + PROPAGATION_S
+    ]
     print(
-        f'endpoints ended: {len(crashes)}, '
+        f'endpoints crashed: {len(crashes)}, '
         f'later than {PROPAGATION_S:g} s after the third: {len(late_crashes)}'
     )
     print(
-        f'others served: {load.served / max(1, load.background_total):.3f} '
+        f'background requests served: {load.served / max(1, load.background_total):.3f} '
         f'of {load.background_total}'
     )
 
--- a/bench/days.py
+++ b/bench/days.py
@@ -2,8 +2,8 @@
 
     .venv/bin/python bench/days.py [journal]
 
-Reads the entries that measured runs write to ``journal/``: value earned, score,
-violated rules and the three highest prices of each day.
+Reads the entries that measured runs write to ``journal/``. A row shows a day's score,
+value earned, violated rules and three highest prices, among others.
 """
 
 import json
@@ -39,7 +39,7 @@
 def main() -> None:
     """Print the table."""
     journal = Path(sys.argv[1] if len(sys.argv) > 1 else 'journal')
-    print('| site | day | score | worth | mark | rules | served | refused | failed | prices |')
+    print('| site | day | score | value | mark | rules | served | refused | failed | prices |')
     print('| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |')
     for entry in newest_scores(journal):
         for day in entry['days']:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -46,7 +46,7 @@
     return counters
 
 
-def idle_cost(cluster: Cluster) -> None:
+def measure_idle_cost(cluster: Cluster) -> None:
     """Print the cost per node and the table calls per second while idle."""
     pids = [cluster.processes.by_name[name].pid for name in cluster.entries_by_name]
     before = [cpu_seconds(pid) for pid in pids]
@@ -94,11 +94,11 @@
 
 def log_times(work_dir: Path, message: str) -> list[float]:
     """Return when each entry instance first logged ``message`` (Unix time)."""
-    stamp = re.compile(r'^(\S+ \S+),(\d+) \S+ ' + re.escape(message))
+    line_pattern = re.compile(r'^(\S+ \S+),(\d+) \S+ ' + re.escape(message))
     times = []
     for log_file in work_dir.glob('entry-*.log'):
         for line in log_file.read_text(encoding='utf-8').splitlines():
-            found = stamp.match(line)
+            found = line_pattern.match(line)
             if found:
                 at = datetime.datetime.strptime(found[1], '%Y-%m-%d %H:%M:%S')
                 times.append(at.timestamp() + int(found[2]) / 1000)
@@ -130,7 +130,7 @@
     dead = log_times(work_dir, f'Membership: {killed} is dead.')
     noticed = suspected if len(suspected) >= len(dead) else dead
     print(
-        f'nodes={nodes} killed: out of look-ups on {len(noticed)} of {nodes - 1} others, '
+        f'nodes={nodes} killed instance noticed by {len(noticed)} of {nodes - 1} others, '
         f'first after {min(noticed) - started:.2f} s, last after {max(noticed) - started:.2f} s'
     )
 
@@ -142,7 +142,7 @@
         cluster = start_cluster(FLEET, work_dir=work_dir, entries_per_zone=nodes // 4)
         try:
             time.sleep(SETTLE_TIME_S)
-            idle_cost(cluster)
+            measure_idle_cost(cluster)
             measure_propagation(cluster, work_dir)
         finally:
             cluster.processes.stop_all()
--- a/bench/leaving.py
+++ b/bench/leaving.py
@@ -4,9 +4,10 @@
 
 Simulates (`plantainloft_standins.leaving_simulation`) a store that fails a third of
 the instances for 16 s while four endpoints leave, and a store that is down for
-all for 5.2 s while rows expire; both silent and refusing. Prints a Markdown
-table: the longest use after a row was removed, store calls per instance and
-second, and running endpoints that were dropped because their row had expired.
+all for 5.2 s while rows expire; calls to a failing store either hang or are refused
+at once. Prints a Markdown table: the longest use of an endpoint after its row was
+removed, store calls per instance and second, and running endpoints that were
+dropped because their row had expired.
 """
 
 import logging
@@ -78,17 +79,21 @@
 def main() -> None:
     logging.disable(logging.CRITICAL)
     sizes = [int(word) for word in sys.argv[1:]] or list(SIZES)
-    print('| instances | store | longest use s | calls/s an instance | dropped though alive |')
+    print('| instances | store | longest use s | calls/s an instance | dropped though running |')
     print('| --- | --- | --- | --- | --- |')
     for count in sizes:
-        for name, make in (('fails a third', partial_outage), ('away for all', full_outage)):
+        for outage_name, make_scenario in (
+            ('fails a third', partial_outage),
+            ('down for all', full_outage),
+        ):
             for failure_mode in FailureMode:
                 results = [
-                    simulate_leaving(make(count, seed, failure_mode)) for seed in range(SEEDS)
+                    simulate_leaving(make_scenario(count, seed, failure_mode))
+                    for seed in range(SEEDS)
                 ]
                 row = summary(results, count)
                 print(
-                    f'| {count} | {name}, {failure_mode.value} | {row.longest_stale_s:.2f} '
+                    f'| {count} | {outage_name}, {failure_mode.value} | {row.longest_stale_s:.2f} '
                     f'| {row.calls_per_s:.2f} | {row.false_drops} |',
                     flush=True,
                 )
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -2,8 +2,8 @@
 
     .venv/bin/python bench/limits.py [ORGANISATIONS]
 
-Prints the time to admit a request, to update the shares and to pack and unpack a
-report, and the size of a report in bytes.
+Prints the time to admit a request, to make a report, to update the shares and to
+pack and unpack a report, and the size of a report in bytes.
 """
 
 import sys
--- a/bench/parsing.py
+++ b/bench/parsing.py
@@ -27,7 +27,7 @@
 
 
 def forward_once() -> None:
-    """Parse and write both directions of one request."""
+    """Parse and serialize both directions of one request."""
     caller = h11.Connection(h11.SERVER)
     caller.receive_data(REQUEST)
     request = caller.next_event()
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -42,7 +42,7 @@
     tracemalloc.stop()
     fatal = fingerprint(1)
     reports = crash_registry.next_reports(10.0)
-    print(f'full book: {MAX_TRACKED_REQUESTS} requests, {full_bytes} B')
+    print(f'full registry: {MAX_TRACKED_REQUESTS} requests, {full_bytes} B')
     print(f'report: {len(pack_crashes(reports))} B at most')
     for name, operation in (
         ('fingerprint', lambda: fingerprint(1)),
@@ -52,7 +52,7 @@
         ),
         ('summary of a quarantined request', lambda: crash_registry.summary_for(fatal, 10.0)),
         (
-            'answer noted, nothing against it',
+            'answer recorded, no crashes known',
             lambda: crash_registry.record_answer(fingerprint(-1), 10.0),
         ),
         ('report merged, nothing new', lambda: crash_registry.merge(reports, 10.0)),
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -62,7 +62,7 @@
 
 
 def _uncached_lookup(index: LookupIndex) -> None:
-    index._cache_by_block.clear()
+    index._addresses_by_block.clear()
     index.addresses('b7')
 
 
--- a/bench/starting.py
+++ b/bench/starting.py
@@ -63,7 +63,7 @@
             cpu_s.append(entry.cpu_seconds())
             peak_sizes_mb.append(entry.peak_mb())
             entry.kill()
-    print(f'processor time to ready: {statistics.median(cpu_s):.2f} s')
+    print(f'CPU time to ready: {statistics.median(cpu_s):.2f} s')
     print(f'wall time to ready: {statistics.median(wall_s):.2f} s')
     print(f'peak memory at ready: {statistics.median(peak_sizes_mb):.1f} MB')
 
--- a/tests/crashing_endpoints.py
+++ b/tests/crashing_endpoints.py
@@ -63,6 +63,7 @@
             port = listener.extra(SocketAttribute.local_port)
             self.address = f'127.0.0.1:{port}'
             self._on_start(self)
+            # Only at the first start: after a crash, the previous scope is cancelled.
             if not self._run_scope.cancel_called:
                 task_status.started()
             with anyio.CancelScope() as self._run_scope:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -31,7 +31,7 @@
 from plantainloft_standins.cluster import Cluster, start_cluster
 from plantainloft_standins.deployments import Deployment, ServicePlan
 
-# From this long after the third crash on, the users allow at most three further
+# Later than this after the third crash, the users allow at most three further
 # arrivals at endpoints, from all instances together.
 PROPAGATION_LIMIT_S = 4.0
 MAX_LATE_ARRIVALS = 3
@@ -66,7 +66,7 @@
 
 @asynccontextmanager
 async def crashing_fleet(
-    entry_processes: list[EntryProcessHandle], path: Path
+    entry_processes: list[EntryProcessHandle], work_dir: Path
 ) -> AsyncIterator[Fleet]:
     trace = Trace()
     async with running_store() as (store, tasks):
@@ -86,7 +86,7 @@
                 EntryProcessHandle(
                     number=number,
                     store_address=store.address,
-                    work_dir=path,
+                    work_dir=work_dir,
                     seeds='127.0.9.1:7801',
                 )
             )
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -74,8 +74,8 @@
     """Symptom: look-ups name an entry instance that is dead.
 
     An entry instance is killed with SIGKILL while the others keep answering
-    look-ups. Guards against members that never expire: its lease (3 s here) must run
-    out.
+    look-ups. Guards against members that never expire: the killed instance's lease
+    (3 s here) must run out.
     """
     before = _looked_up_names(tiny_deployment)
     tiny_deployment.processes.signal(TARGET, signal.SIGKILL)
@@ -154,10 +154,10 @@
 ) -> None:
     """Symptom: an endpoint that is leaving is sent requests for seconds.
 
-    An endpoint begins to drain without any change of the configuration (the list of
-    instances lags) while callers keep sending through the entry instance of its
-    zone. Guards against ignoring the draining state that the endpoint reports in its
-    load report and in refusals.
+    An endpoint begins to drain without any change of the configuration (its list of
+    endpoints lags behind) while callers keep sending through the entry instance of
+    the endpoint's zone. Guards against ignoring the draining state that the endpoint
+    reports in its load report and in refusals.
     """
     leaving = tiny_deployment.endpoints_by_name['case-desk-ankara-a-0']
     entry = tiny_deployment.entries_by_name[TARGET]
@@ -236,8 +236,8 @@
     never used again.
 
     An entry instance is stopped with SIGSTOP until the others consider it dead, and
-    then continued. Guards against missing heartbeats, and against a dead state that
-    the instance can't refute.
+    then continued. Guards against overlooking that heartbeats stop, and against a dead
+    state that the instance can't refute.
     """
     tiny_deployment.processes.signal(TARGET, signal.SIGSTOP)
     while_frozen = _wait_until_absent(tiny_deployment, TARGET)
@@ -255,8 +255,8 @@
     """Symptom: a booking is charged twice after a retry.
 
     The table applies every write but loses its answer. A booking is sent through one
-    entry instance, and the caller retries through another. Guards against taking a
-    claim whose answer was lost for failed or for another node's.
+    entry instance, and the caller retries through another. Guards against
+    treating a claim whose answer was lost as failed, or as another node's.
     """
     _set_fault_mode(tiny_deployment, 'lose_answer')
     first = _call(tiny_deployment.entries_by_name[TARGET], 'POST', key='booking-7')
--- a/tests/test_own_organisations.py
+++ b/tests/test_own_organisations.py
@@ -151,8 +151,8 @@
     }
     rows = aggregate_organisations({'e1': [entry], 'e2': [{**entry, 'used': 2}]})
     assert (rows[0].used, rows[0].refused) == (3, 6)
-    plot_organisations(rows, tmp_path / 'uses.png')
-    assert (tmp_path / 'uses.png').read_bytes().startswith(b'\x89PNG')
+    plot_organisations(rows, tmp_path / 'usage.png')
+    assert (tmp_path / 'usage.png').read_bytes().startswith(b'\x89PNG')
 
 
 @pytest.fixture
@@ -165,13 +165,13 @@
 def commit(cluster: Cluster, patch: list[dict[str, Any]]) -> None:
     async def run() -> None:
         client = TableClient(base_url=cluster.table_url, timeout_s=2.0)
-        version = httpx.get(f'{next(iter(cluster.entries_by_name.values()))}/v1/status').json()
+        status = httpx.get(f'{next(iter(cluster.entries_by_name.values()))}/v1/status').json()
         outcome = await commit_patch(
             client,
-            base_version=version['version'],
+            base_version=status['version'],
             patch=patch,
             author='test',
-            change_id=f'test-{version["version"]}',
+            change_id=f'test-{status["version"]}',
         )
         await client.close()
         assert isinstance(outcome, Committed), outcome
@@ -195,6 +195,7 @@
 
 
 def ask(url: str, headers: dict[str, str]) -> int:
+    """Return the status of a request, or 0 if it got no answer."""
     try:
         answer = httpx.get(f'{url}/v1/forward/case-desk/1', headers=headers, timeout=3)
     except httpx.HTTPError:
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -88,7 +88,7 @@
             if len(accepted) == 1:
                 await anyio.sleep_forever()
             while True:
-                # Always answers call 2, as [kind, call, content].
+                # Always answers call 2, as [kind, call, content]; call 1 got no answer.
                 await stream.receive()
                 await stream.send(b'\x93\xa5reply\x02\xa2ok')
 
--- a/tests/test_region_loss.py
+++ b/tests/test_region_loss.py
@@ -28,7 +28,7 @@
     requests for six seconds. Guards against failover without a cap, and against
     refusals that are delayed.
 
-    The limit is checked per window of the cap: on a busy machine the requests take
+    The cap is checked per window: on a busy machine the requests take
     longer than one window, and more may move in the next.
     """
     url = f'{tiny_deployment.entries_by_name[ENTRY]}/v1/forward/case-desk/item'
