--- a/packages/standins/src/plantainloft_standins/cluster.py
+++ b/packages/standins/src/plantainloft_standins/cluster.py
@@ -198,7 +198,7 @@
     entries_per_zone: int = 1,
     policy: str = 'headroom',
 ) -> Cluster:
-    """Start ``deployment``; the caller stops it with ``stop_all``."""
+    """Start ``deployment``; the caller stops it with ``processes.stop_all``."""
     processes = Processes(log_dir=work_dir)
     table_address = f'127.0.0.1:{free_port()}'
     cluster = Cluster(processes=processes, table_url=f'http://{table_address}')
--- a/packages/standins/src/plantainloft_standins/crash_simulation.py
+++ b/packages/standins/src/plantainloft_standins/crash_simulation.py
@@ -78,7 +78,10 @@
         self.crashes_by_path: dict[str, list[float]] = {}
 
     def record_arrival(self, path: str, now: float) -> None:
-        """Record a fatal request sent to an endpoint that counts towards the limit."""
+        """Record a fatal request, sent to an endpoint, that counts towards the limit.
+
+        Requests of an instance that restarted less than ``PROPAGATION_S`` ago do not count.
+        """
         self.arrivals_by_path.setdefault(path, []).append(now)
 
     def record_crash(self, path: str, now: float) -> None:
@@ -260,10 +263,10 @@
         request.attempts += 1
         endpoint.running.append(request)
         if request.is_fatal:
-            started = self._restarted_at_by_name.get(
+            restarted_at = self._restarted_at_by_name.get(
                 request.instance.members.local_member.name, -PROPAGATION_S
             )
-            if self.model.now - started >= PROPAGATION_S:
+            if self.model.now - restarted_at >= PROPAGATION_S:
                 self.results.record_arrival(request.path, self.model.now)
             callback = partial(self._crash, endpoint, endpoint.start_count, request)
             self.model.after(CRASH_DELAY_S, callback)
@@ -272,8 +275,8 @@
                 SERVICE_TIME_S, partial(self._complete, endpoint, endpoint.start_count, request)
             )
 
-    def _crash(self, endpoint: _Endpoint, start: int, request: _Request) -> None:
-        if endpoint.start_count == start and endpoint.is_up:
+    def _crash(self, endpoint: _Endpoint, start_count: int, request: _Request) -> None:
+        if endpoint.start_count == start_count and endpoint.is_up:
             self.results.record_crash(request.path, self.model.now)
             self._stop(endpoint)
 
@@ -311,8 +314,8 @@
         else:
             self._finish(request, 'failed')
 
-    def _complete(self, endpoint: _Endpoint, start: int, request: _Request) -> None:
-        if endpoint.start_count != start or request not in endpoint.running:
+    def _complete(self, endpoint: _Endpoint, start_count: int, request: _Request) -> None:
+        if endpoint.start_count != start_count or request not in endpoint.running:
             return
         endpoint.running.remove(request)
         if request.instance.crash_registry.record_answer(request.fingerprint, self.model.now):
--- a/packages/standins/src/plantainloft_standins/demo.py
+++ b/packages/standins/src/plantainloft_standins/demo.py
@@ -42,7 +42,9 @@
 def _latency_lines(replies: list[Reply]) -> list[str]:
     lines = [f'{"service":<16}{"requests":>10}{"p50 ms":>9}{"p99 ms":>9}{"whole":>7}']
     for service in sorted({reply.service for reply in replies}):
-        lines.append(_latency_line(service, [rep for rep in replies if rep.service == service]))
+        lines.append(
+            _latency_line(service, [reply for reply in replies if reply.service == service])
+        )
     return lines
 
 
--- a/packages/standins/src/plantainloft_standins/endpoint.py
+++ b/packages/standins/src/plantainloft_standins/endpoint.py
@@ -65,7 +65,7 @@
             self.refused += 1
 
     def last_request_after_s(self) -> float | None:
-        """Return the time from the begin of draining to the last request."""
+        """Return the time from the start of draining to the last request."""
         return (
             None
             if self.draining_since is None
@@ -164,7 +164,7 @@
 
     async def drain(request: Request) -> Response:
         state.drain.begin()
-        log.info('Endpoint: %s is draining.', state.settings.name)
+        log.info('Endpoint: %s refuses new requests: a drain was requested.', state.settings.name)
         return JSONResponse({'draining': True})
 
     async def mislead(request: Request) -> Response:
--- a/packages/standins/src/plantainloft_standins/fleet_simulation.py
+++ b/packages/standins/src/plantainloft_standins/fleet_simulation.py
@@ -1,8 +1,9 @@
 """Simulation of the datagrams between many entry instances, in virtual time.
 
-Runs the production membership, receiving and report_planner code of each instance. The
+Runs the production membership, receiving and report planning code of each instance. The
 network between them is simulated: it loses and delays datagrams, and a test can
-cut links. A hint is answered with the whole list of instances, as by a real peer.
+block them. An instance that gets a hint with unknown members asks its sender, which
+answers with its full list of instances, as a real peer does.
 """
 
 import heapq
@@ -22,7 +23,7 @@
 
 __all__ = ['FleetModel', 'FleetShape', 'ModelInstance', 'Traffic']
 
-LinkFilter = Callable[[FleetMember, FleetMember], bool]
+DeliveryFilter = Callable[[FleetMember, FleetMember], bool]
 
 SEED_COUNT = 3
 
@@ -129,7 +130,7 @@
         self._limit_parameters = limit_parameters
         self._share_rule = share_rule
         self.now = 0.0
-        self.can_deliver: LinkFilter = _allow_all
+        self.can_deliver: DeliveryFilter = _allow_all
         self.instance_by_name: dict[str, ModelInstance] = {}
         self._shape = shape
         self._listed = listed
@@ -227,16 +228,18 @@
             self.after(HEARTBEAT_INTERVAL_S + round_delay_s, partial(self._run_round, instance))
 
     def _send(self, sender: ModelInstance, datagram: OutgoingDatagram) -> None:
-        local_member = sender.members.local_member
+        sender_member = sender.members.local_member
         to = self._member_by_name[datagram.address.rpartition(':')[0]]
         sender.traffic = sender.traffic.with_sent(
-            len(datagram.packed), between_zones=to.zone != local_member.zone
+            len(datagram.packed), between_zones=to.zone != sender_member.zone
         )
-        if self.can_deliver(local_member, to) and self._rng.random() >= self._shape.loss:
+        if self.can_deliver(sender_member, to) and self._rng.random() >= self._shape.loss:
             delay_s = (
-                INTRA_REGION_DELAY_S if to.region == local_member.region else INTER_REGION_DELAY_S
+                INTRA_REGION_DELAY_S if to.region == sender_member.region else INTER_REGION_DELAY_S
+            )
+            self.after(
+                delay_s, partial(self._deliver, datagram.packed, sender_member.name, to.name)
             )
-            self.after(delay_s, partial(self._deliver, datagram.packed, local_member.name, to.name))
 
     def _deliver(self, packed: bytes, host: str, name: str) -> None:
         receiver = self.instance_by_name.get(name)
@@ -249,9 +252,9 @@
         if accepted.is_urgent:
             self.schedule_urgent_round(receiver)
         for hint in accepted.hints:
-            self._take_hint(receiver, hint)
+            self._on_update_hint(receiver, hint)
 
-    def _take_hint(self, receiver: ModelInstance, hint: UpdateHint) -> None:
+    def _on_update_hint(self, receiver: ModelInstance, hint: UpdateHint) -> None:
         if not receiver.query_pending and _has_unknown_members(receiver, hint):
             receiver.query_pending = True
             self.after(MEMBER_QUERY_DELAY_S, partial(self._query_members, receiver, hint))
--- a/packages/standins/src/plantainloft_standins/leaving_simulation.py
+++ b/packages/standins/src/plantainloft_standins/leaving_simulation.py
@@ -109,7 +109,7 @@
         self._scenario = scenario
         self.byte_s = scenario.byte_s
         self.handler_by_call: dict[tuple[str, str], FrameHandler] = {}
-        self.link_by_name: dict[str, anyio.Lock] = {}
+        self.uplink_lock_by_name: dict[str, anyio.Lock] = {}
 
     def one_way_s(self, sender: FleetMember, receiver: FleetMember) -> float:
         if sender.region == receiver.region:
@@ -133,14 +133,14 @@
     def __init__(self, *, local_member: FleetMember, network: _Network) -> None:
         self._local_member = local_member
         self._network = network
-        self._link_by_name = network.link_by_name
+        self._uplink_lock_by_name = network.uplink_lock_by_name
 
     async def call(self, member: FleetMember, kind: str, content: Any) -> Any | Unreachable:
         one_way_s = self._network.one_way_s(self._local_member, member)
         with anyio.move_on_after(CALL_TIMEOUT_S):
             await anyio.sleep(one_way_s)
             answer = await self._network.handler_by_call[(member.name, kind)](content)
-            async with self._link_by_name.setdefault(member.name, anyio.Lock()):
+            async with self._uplink_lock_by_name.setdefault(member.name, anyio.Lock()):
                 await anyio.sleep(self._network.transmission_s(answer))
             await anyio.sleep(one_way_s)
             return answer
@@ -213,8 +213,8 @@
         )
 
     def receive(self, packed: bytes, host: str) -> None:
-        taken = self._report_receiver.receive(packed, host, anyio.current_time())
-        for hint in taken.hints if taken else ():
+        accepted = self._report_receiver.receive(packed, host, anyio.current_time())
+        for hint in accepted.hints if accepted else ():
             self.row_replication.on_update_hint(hint)
 
 
@@ -228,7 +228,7 @@
         self._network = _Network(scenario=scenario)
         self._instance_by_name: dict[str, _Instance] = {}
         self._removed_at_by_id: dict[str, float] = {}
-        self._last_use: dict[tuple[str, str], float] = {}
+        self._last_used_at: dict[tuple[str, str], float] = {}
         self._false_drops: dict[tuple[str, str], FalseDrop] = {}
 
     async def run(self) -> LeavingResult:
@@ -250,8 +250,10 @@
             tasks.cancel_scope.cancel()
         return LeavingResult(
             stale_uses=[
-                StaleUse(name, self._removed_at_by_id[left], until - self._removed_at_by_id[left])
-                for (name, left), until in self._last_use.items()
+                StaleUse(
+                    name, self._removed_at_by_id[left_id], used_at - self._removed_at_by_id[left_id]
+                )
+                for (name, left_id), used_at in self._last_used_at.items()
             ],
             false_drops=list(self._false_drops.values()),
             calls=sum(one.store_client.calls for one in self._instance_by_name.values()),
@@ -288,7 +290,7 @@
     async def _send_heartbeats(self, sender: _Instance, tasks: TaskGroup) -> None:
         await anyio.sleep(self._random.random() * HEARTBEAT_INTERVAL_S)
         while True:
-            self._send_messages(
+            self._send_datagrams(
                 sender.report_planner.plan_round(anyio.current_time()), sender, tasks
             )
             await anyio.sleep(HEARTBEAT_INTERVAL_S)
@@ -296,12 +298,12 @@
     async def _send_hints(self, sender: _Instance, tasks: TaskGroup) -> None:
         while True:
             await sender.replicated_state.rows.wait_for_change()
-            self._send_messages(
+            self._send_datagrams(
                 sender.report_planner.datagrams_for_subscribers(anyio.current_time()), sender, tasks
             )
             await anyio.sleep(ROW_CHANGE_DEBOUNCE_S)
 
-    def _send_messages(
+    def _send_datagrams(
         self, datagrams: list[OutgoingDatagram], sender: _Instance, tasks: TaskGroup
     ) -> None:
         for datagram in datagrams:
@@ -311,9 +313,9 @@
     async def _deliver(self, datagram: OutgoingDatagram, sender: _Instance) -> None:
         name = datagram.address.rpartition(':')[0]
         receiver = self._instance_by_name[name]
-        local_member = sender.members.local_member
-        await anyio.sleep(self._network.one_way_s(local_member, receiver.members.local_member))
-        receiver.receive(datagram.packed, local_member.name)
+        sender_member = sender.members.local_member
+        await anyio.sleep(self._network.one_way_s(sender_member, receiver.members.local_member))
+        receiver.receive(datagram.packed, sender_member.name)
 
     async def _write_configurations(self) -> None:
         # The operator can't write while the store is down for all instances.
@@ -356,7 +358,7 @@
             endpoint_id = f'i{number}'
             if endpoint_id in self._removed_at_by_id:
                 if endpoint_id in used:
-                    self._last_use[(name, endpoint_id)] = now
+                    self._last_used_at[(name, endpoint_id)] = now
             elif endpoint_id not in used and now > self._scenario.intra_region_rtt_s + 2:
                 self._false_drops.setdefault((name, endpoint_id), FalseDrop(name, endpoint_id, now))
 
--- a/packages/standins/src/plantainloft_standins/limit_simulation.py
+++ b/packages/standins/src/plantainloft_standins/limit_simulation.py
@@ -24,7 +24,7 @@
 class CallerFlow(NamedTuple):
     """Requests of an organisation, ``per_s`` in total, spread over ``instances``.
 
-    ``begins_s`` and ``ends_s`` count from the start of the simulation. If
+    ``begins_s`` and ``ends_s`` count from when the fleet has settled. If
     ``instances`` is empty, all running instances receive requests.
     """
 
@@ -42,7 +42,10 @@
 
 
 class LimitSimulation:
-    """Simulates flows of requests to a fleet and records which were admitted."""
+    """Simulates flows of requests to a fleet and records which were admitted.
+
+    ``after_s`` counts, like ``begins_s``, from when the fleet has settled.
+    """
 
     def __init__(self, *, model: FleetModel, flows: Iterable[CallerFlow], seed: int) -> None:
         self.model = model
--- a/packages/standins/src/plantainloft_standins/load_simulation.py
+++ b/packages/standins/src/plantainloft_standins/load_simulation.py
@@ -123,12 +123,12 @@
         self.workload = workload
         self.region = region
         self.key = key
-        self.first_at = at
+        self.first_asked_at = at
         self.asked_at = at
         self.retried_by_caller = False
         self.sent_at = at
         self.had_free_slot = False
-        self.sent = 0
+        self.attempts = 0
         self.tried_endpoint_ids: set[str] = set()
         self.is_finished = False
 
@@ -266,7 +266,7 @@
         request.sent_at = model.now
         request.had_free_slot = choice.load < state.record.slots
         request.tried_endpoint_ids.add(state.record.id)
-        request.sent += 1
+        request.attempts += 1
         delay = model.one_way_delay_s(self.region, endpoint.region)
         model.schedule(delay, lambda: self._arrive(request, endpoint))
 
@@ -288,7 +288,7 @@
         state.record_load_report(busy=busy, now=now)
         self._model.shed += 1
         allowance = RetryAllowance(RETRY_RATIO, RETRY_EXTRA, len(self._model.instances))
-        if request.sent < MAX_ATTEMPTS and self._budget.try_acquire(now, allowance):
+        if request.attempts < MAX_ATTEMPTS and self._budget.try_acquire(now, allowance):
             self._place_request(request)
         else:
             self._model.refuse(request, self)
@@ -354,15 +354,15 @@
         """Return the one-way delay between two regions."""
         return INTRA_REGION_DELAY_S if one == other else self.scenario.inter_region_delay_s
 
-    def record_arrival(self, callers: str, region: str) -> None:
-        """Count a request from region ``callers`` that arrives at an endpoint in ``region``."""
-        self.arrivals_by_bin[(callers, int(self.now / BIN_S))][region] += 1
+    def record_arrival(self, caller_region: str, region: str) -> None:
+        """Count a request from ``caller_region`` that arrives at an endpoint in ``region``."""
+        self.arrivals_by_bin[(caller_region, int(self.now / BIN_S))][region] += 1
 
     def record_end(self, request: _Request, *, served: bool) -> None:
         """Count how a request ended."""
         request.is_finished = True
         stats = self.stats_by_workload[request.workload.name]
-        elapsed_s = self.now - request.first_at
+        elapsed_s = self.now - request.first_asked_at
         if served and elapsed_s <= request.workload.latency_objective_s:
             stats.within_objective += 1
         elif served:
@@ -377,7 +377,7 @@
             self.stats_by_workload[request.workload.name].refused += 1
             return
         request.retried_by_caller = True
-        request.sent = 0
+        request.attempts = 0
         request.tried_endpoint_ids = set()
         delay = CALLER_RETRY_DELAY_S * self.random.uniform(*CALLER_RETRY_SPREAD)
         self.schedule(delay, lambda: self._retry_from_caller(request, instance))
@@ -437,13 +437,13 @@
     Compares where requests run in each sliding window and in the window after it.
     """
     bins = int(window_s / BIN_S)
-    last = int(model.scenario.duration_s / BIN_S)
+    bin_count = int(model.scenario.duration_s / BIN_S)
     shifts = [
         _moved_fraction(
             _sum_arrivals(model, region, at - bins, at), _sum_arrivals(model, region, at, at + bins)
         )
         for region in model.regions
-        for at in range(bins, last - bins + 1)
+        for at in range(bins, bin_count - bins + 1)
     ]
     return max(shifts, default=0.0)
 
--- a/packages/standins/src/plantainloft_standins/processes.py
+++ b/packages/standins/src/plantainloft_standins/processes.py
@@ -42,7 +42,7 @@
             except OSError:
                 continue
             return port
-    raise RuntimeError('no free port')
+    raise RuntimeError(f'no free TCP port on loopback from {FIRST_PORT} to {LAST_PORT - 1}')
 
 
 class Processes:
--- a/packages/standins/src/plantainloft_standins/quarantine_store.py
+++ b/packages/standins/src/plantainloft_standins/quarantine_store.py
@@ -20,12 +20,16 @@
 
     async def read(self) -> list[StoredRecord] | Unreachable:
         """Return all rows."""
-        return Unreachable(reason='away') if self.is_unreachable else list(self.row_by_key.values())
+        return (
+            Unreachable(reason='simulated outage')
+            if self.is_unreachable
+            else list(self.row_by_key.values())
+        )
 
     async def write(self, key: str, encoded: bytes) -> Unreachable | None:
         """Write a row unconditionally."""
         if self.is_unreachable:
-            return Unreachable(reason='away')
+            return Unreachable(reason='simulated outage')
         self._version += 1
         self.row_by_key[key] = StoredRecord(key, self._version, encoded)
         return None
@@ -41,7 +45,7 @@
     async def remove(self, row: StoredRecord) -> Unreachable | None:
         """Remove ``row`` if its version has not changed."""
         if self.is_unreachable:
-            return Unreachable(reason='away')
+            return Unreachable(reason='simulated outage')
         if self.row_by_key.get(row.key) == row:
             self.row_by_key.pop(row.key)
         return None
--- a/tests/test_crash_model.py
+++ b/tests/test_crash_model.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_an_instance_that_hears_nobody_counts_for_itself(
+def test_an_instance_that_receives_no_datagrams_counts_for_itself(
     make_simulation: SimulationFactory, seed: int
 ) -> None:
     simulation = make_simulation(SMALL._replace(seed=seed), fatal=(FATAL,), duration_s=25.0)
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize('seed', [22, 31])
-def test_a_deaf_instance_that_restarts_knows_what_is_shut_out(seed: int) -> None:
+def test_an_unreachable_instance_that_restarts_knows_what_is_shut_out(seed: int) -> None:
     """Relying on its own count only, it sent a fatal request four more times."""
     simulation = random_simulation(seed)
     simulation.run()
@@ -128,7 +128,7 @@
     assert simulation.results.share('answered') >= 0.9
 
 
-def test_suspects_that_are_not_repeated_end_fewer_endpoints(
+def test_suspects_that_are_not_retried_crash_fewer_endpoints(
     make_simulation: SimulationFactory,
 ) -> None:
     crash_counts = []
--- a/tests/test_leaving_model.py
+++ b/tests/test_leaving_model.py
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize('seed', range(8))
-def test_an_endpoint_that_leaves_is_left_in_time_whatever_the_store_does(seed: int) -> None:
+def test_an_endpoint_that_leaves_is_dropped_in_time_whatever_the_store_does(seed: int) -> None:
     """Endpoints that leave are dropped within MAX_STALE_S under overlapping outages."""
     result = simulate_leaving(overlapping_outages(seed))
     assert [one for one in result.stale_uses if one.stale_s > MAX_STALE_S] == []
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize('failure_mode', FailureMode)
 @pytest.mark.parametrize('duration_s', [1.0, 5.4])
-def test_an_endpoint_that_leaves_after_an_outage_is_left_in_time(
+def test_an_endpoint_that_leaves_after_an_outage_is_dropped_in_time(
     duration_s: float, failure_mode: FailureMode
 ) -> None:
     """Symptom: requests reach an endpoint 2.65 s after its row was removed.
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize('failure_mode', FailureMode)
 @pytest.mark.parametrize('duration_s', [5.2, 8.0])
-def test_endpoints_whose_rows_lapsed_are_used_on_until_they_may_be_back(
+def test_endpoints_whose_rows_expired_are_used_until_they_may_be_back(
     duration_s: float, failure_mode: FailureMode
 ) -> None:
     """Symptom: no endpoint is usable for two seconds after an outage of the store."""
@@ -161,7 +161,9 @@
 
 @pytest.mark.parametrize('failure_mode', FailureMode)
 @pytest.mark.parametrize('seed', range(3))
-def test_those_who_rest_use_no_endpoint_that_left(seed: int, failure_mode: FailureMode) -> None:
+def test_instances_that_do_not_poll_use_no_endpoint_that_left(
+    seed: int, failure_mode: FailureMode
+) -> None:
     """Symptom: requests reach an endpoint 2.8 s after its row was removed.
 
     Most instances don't poll the store and get changes from two that do. An
@@ -174,7 +176,7 @@
 
 
 @pytest.mark.parametrize('failure_mode', FailureMode)
-def test_those_who_rest_leave_an_endpoint_in_time_after_an_outage(
+def test_instances_that_do_not_poll_drop_an_endpoint_in_time_after_an_outage(
     failure_mode: FailureMode,
 ) -> None:
     """The same, with the store down for all instances."""
@@ -186,7 +188,9 @@
 
 
 @pytest.mark.parametrize('failure_mode', FailureMode)
-def test_those_who_rest_use_endpoints_on_whose_rows_lapsed(failure_mode: FailureMode) -> None:
+def test_instances_that_do_not_poll_keep_endpoints_whose_rows_expired(
+    failure_mode: FailureMode,
+) -> None:
     """Instances that don't poll see no failed call and learn of the outage from peers."""
     scenario = with_more_instances(full_outage(1, failure_mode, duration_s=8.0), 1)
     rewritten_by = scenario.outages[0].end_s + REREGISTRATION_S
@@ -194,12 +198,12 @@
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_a_larger_fleet_leaves_endpoints_in_time_whatever_the_store_does(seed: int) -> None:
+def test_a_larger_fleet_drops_endpoints_in_time_whatever_the_store_does(seed: int) -> None:
     result = simulate_leaving(with_more_instances(overlapping_outages(seed), seed))
     assert [one for one in result.stale_uses if one.stale_s > MAX_STALE_S] == []
 
 
-def test_few_follow_the_store() -> None:
+def test_few_instances_poll_the_store() -> None:
     """Symptom: calls to the store, each of which costs, grow with the fleet.
 
     Endpoints leave every two seconds; each change ended a poll of every instance.
@@ -224,7 +228,7 @@
     assert calls[24] - calls[12] <= 3 * 12 * each * 1.2
 
 
-def test_a_large_configuration_holds_up_nobody_who_rests() -> None:
+def test_a_large_configuration_delays_no_instance_that_does_not_poll() -> None:
     """Symptom: requests reach an endpoint 4.3 s after it left, and some instances
     don't know routes 7 s after they were declared.
 
@@ -238,7 +242,7 @@
     assert result.outdated_at_end == []
 
 
-def test_a_large_configuration_reaches_all_who_rest_over_slow_links() -> None:
+def test_a_large_configuration_reaches_all_that_do_not_poll_over_slow_links() -> None:
     """Symptom: some instances don't know routes until they are restarted.
 
     The configuration takes longer to download from the store than the timeout of a
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize('factor', [5.0, 12.0])
 def test_slow_endpoints_cost_no_more_than_their_part(factor: float) -> None:
-    """Two of 28 endpoints are slow for half of the time."""
+    """Three of 28 endpoints, one per region, are slow for 7 of 15 s."""
 
     def slowdown(number: int, now: float) -> float:
         return factor if number == 1 and 5 < now < 12 else 1.0
