--- a/packages/node/src/plantainloft_node/peering/__init__.py
+++ b/packages/node/src/plantainloft_node/peering/__init__.py
@@ -1,6 +1,6 @@
-"""The mesh of entry instances, and the streams that it uses."""
+"""Gossip between entry instances and the connections that it uses."""
 
-from plantainloft_node.peering.mesh import Mesh
-from plantainloft_node.streams import Handler, Links, PeerLink, Traffic, serve_peers
+from plantainloft_node.peering.mesh import GossipService
+from plantainloft_node.streams import Handler, Links, PeerConnection, Traffic, serve_peers
 
-__all__ = ['Handler', 'Links', 'Mesh', 'PeerLink', 'Traffic', 'serve_peers']
+__all__ = ['GossipService', 'Handler', 'Links', 'PeerConnection', 'Traffic', 'serve_peers']
--- a/packages/node/src/plantainloft_node/streams/__init__.py
+++ b/packages/node/src/plantainloft_node/streams/__init__.py
@@ -1,7 +1,7 @@
-"""Calls between entry instances: msgpack frames over TCP."""
+"""Remote calls between entry instances, as msgpack frames over TCP."""
 
 from plantainloft_node.streams.frames import Traffic
-from plantainloft_node.streams.links import Links, PeerLink
+from plantainloft_node.streams.links import Links, PeerConnection
 from plantainloft_node.streams.listener import Handler, serve_peers
 
-__all__ = ['Handler', 'Links', 'PeerLink', 'Traffic', 'serve_peers']
+__all__ = ['Handler', 'Links', 'PeerConnection', 'Traffic', 'serve_peers']
--- a/packages/node/src/plantainloft_node/streams/frames.py
+++ b/packages/node/src/plantainloft_node/streams/frames.py
@@ -1,4 +1,4 @@
-"""Frames between entry instances: msgpack on a stream."""
+"""Framing of messages between entry instances: msgpack over a byte stream."""
 
 from typing import Any, TypedDict
 
@@ -10,8 +10,7 @@
 
 REPLY = 'reply'
 MAX_FRAME_BYTES = 64_000_000
-# What a connection's end looks like, however it came about; a garbled
-# stream (ValueError) is ended too.
+# Errors that mean the connection ended. A corrupt stream (ValueError) also ends it.
 STREAM_ERRORS = (
     OSError,
     ValueError,
@@ -22,7 +21,7 @@
 
 
 class Frame(TypedDict):
-    """One message: what it asks, the call it belongs to, its content."""
+    """One message: its kind, the number of its call and its content."""
 
     kind: str
     call: int
@@ -30,7 +29,7 @@
 
 
 class Traffic:
-    """Bytes sent to and received from peers by this node."""
+    """Counts the bytes sent to and received from peers by this node."""
 
     def __init__(self) -> None:
         self.sent = 0
@@ -44,14 +43,14 @@
         self._traffic = traffic
         self._stream = stream
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME_BYTES)
-        self._sending = anyio.Lock()
+        self._send_lock = anyio.Lock()
 
     async def send(self, frame: Frame) -> None:
-        """Send one frame whole; raises anyio's stream errors."""
+        """Send one complete frame; raises anyio's stream errors."""
         packed = msgpack.packb([frame['kind'], frame['call'], frame['content']])
-        # Two answers sent at once on one connection would interleave
-        # their bytes and garble both.
-        async with self._sending:
+        # Concurrent sends on one connection would interleave their bytes and corrupt
+        # both frames.
+        async with self._send_lock:
             await self._stream.send(packed)
         self._traffic.sent += len(packed)
 
@@ -66,5 +65,5 @@
             self._unpacker.feed(received)
 
     async def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection without waiting for pending data."""
         await anyio.aclose_forcefully(self._stream)
