--- a/packages/standins/src/plantainloft_standins/quarantine_store.py
+++ b/packages/standins/src/plantainloft_standins/quarantine_store.py
@@ -1,4 +1,4 @@
-"""A store of quarantined requests in memory, which may be away."""
+"""In-memory store of quarantined requests that can simulate an outage."""
 
 from plantainloft_core.outcomes import Unreachable
 from plantainloft_node.quarantine.records import Outdated, QuarantineStore, StoredRecord
@@ -7,7 +7,7 @@
 
 
 class MemoryQuarantineStore(QuarantineStore):
-    """Rows in memory; ``is_away`` fails every call."""
+    """Store in memory; every call fails while ``is_away`` is true."""
 
     def __init__(self) -> None:
         self.row_by_key: dict[str, StoredRecord] = {}
@@ -19,7 +19,7 @@
         return Unreachable(reason='away') if self.is_away else list(self.row_by_key.values())
 
     async def write(self, key: str, packed: bytes) -> Unreachable | None:
-        """Write a row, whatever it was before."""
+        """Write a row unconditionally."""
         if self.is_away:
             return Unreachable(reason='away')
         self._version += 1
@@ -27,13 +27,13 @@
         return None
 
     async def replace(self, row: StoredRecord, packed: bytes) -> Outdated | Unreachable | None:
-        """Write over ``row`` if it still has its version."""
+        """Overwrite ``row`` if its version has not changed."""
         if not self.is_away and self.row_by_key.get(row.key) != row:
             return Outdated()
         return await self.write(row.key, packed)
 
     async def remove(self, row: StoredRecord) -> Unreachable | None:
-        """Remove ``row`` if it still has its version."""
+        """Remove ``row`` if its version has not changed."""
         if self.is_away:
             return Unreachable(reason='away')
         if self.row_by_key.get(row.key) == row:
--- a/packages/standins/src/plantainloft_standins/table.py
+++ b/packages/standins/src/plantainloft_standins/table.py
@@ -5,8 +5,8 @@
 - ``GET /rows/{key}``: ``{"key", "version", "value"}`` or 404.
 - ``GET /rows?prefix=P``: ``{"rows": [...]}``.
 - ``POST /txn`` with ``{"conditions": [{"key", "version"}], "writes":
-  [{"key", "value"}], "deletes": [key]}``: all or nothing. Version 0 means
-  the row is absent. 200 ``{"versions": {key: n}}`` or 409
+  [{"key", "value"}], "deletes": [key]}``: an atomic transaction. Version 0 means
+  that the row is absent. 200 ``{"versions": {key: n}}`` or 409
   ``{"conflicts": [{"key", "version"}]}``.
 - ``PUT /objects/{key}``, ``GET /objects/{key}``: the object store.
 - ``POST /faults`` with ``{"mode", "delay_s"}``; ``GET /stats``.
@@ -30,7 +30,7 @@
 
 
 class TableService:
-    """Rows with versions, changed only by all-or-nothing transactions."""
+    """Versioned rows changed by atomic transactions, and an object store."""
 
     def __init__(self) -> None:
         self.rows_by_key: dict[str, tuple[int, Any]] = {}
@@ -70,7 +70,7 @@
 def make_app(table: TableService) -> Starlette:
     """Build the ASGI application serving ``table``."""
 
-    async def faulted() -> Response | None:
+    async def simulate_fault() -> Response | None:
         if table.faults.mode == 'down':
             return JSONResponse(
                 {'error': 'unavailable'}, status_code=HTTPStatus.SERVICE_UNAVAILABLE
@@ -80,9 +80,9 @@
         return None
 
     async def get_row(request: Request) -> Response:
-        refusal = await faulted()
-        if refusal:
-            return refusal
+        fault = await simulate_fault()
+        if fault:
+            return fault
         table.reads += 1
         key = request.path_params['key']
         entry = table.rows_by_key.get(key)
@@ -91,9 +91,9 @@
         return JSONResponse(_row(key, entry))
 
     async def list_rows(request: Request) -> Response:
-        refusal = await faulted()
-        if refusal:
-            return refusal
+        fault = await simulate_fault()
+        if fault:
+            return fault
         table.reads += 1
         prefix = request.query_params.get('prefix', '')
         rows = [
@@ -104,34 +104,34 @@
         return JSONResponse({'rows': rows})
 
     async def txn(request: Request) -> Response:
-        refusal = await faulted()
-        if refusal:
-            return refusal
+        fault = await simulate_fault()
+        if fault:
+            return fault
         status, answer = table.commit(await request.json())
         if table.faults.mode == 'lose_answer':
-            # The write took effect; the writer is not told so.
+            # The write took effect, but the caller does not learn of it.
             return JSONResponse(
                 {'error': 'answer lost'}, status_code=HTTPStatus.INTERNAL_SERVER_ERROR
             )
         return JSONResponse(answer, status_code=status)
 
     async def put_object(request: Request) -> Response:
-        refusal = await faulted()
-        if refusal:
-            return refusal
+        fault = await simulate_fault()
+        if fault:
+            return fault
         table.objects_by_key[request.path_params['key']] = await request.body()
         table.writes += 1
         return JSONResponse({'stored': True})
 
     async def get_object(request: Request) -> Response:
-        refusal = await faulted()
-        if refusal:
-            return refusal
+        fault = await simulate_fault()
+        if fault:
+            return fault
         table.reads += 1
-        blob = table.objects_by_key.get(request.path_params['key'])
-        if blob is None:
+        content = table.objects_by_key.get(request.path_params['key'])
+        if content is None:
             return JSONResponse({'error': 'absent'}, status_code=HTTPStatus.NOT_FOUND)
-        return Response(blob, media_type='application/octet-stream')
+        return Response(content, media_type='application/octet-stream')
 
     async def set_faults(request: Request) -> Response:
         body = await request.json()
