--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,15 +1,15 @@
-"""What the benches read of the processes that they measure."""
+"""CPU time and memory of the processes that benchmarks measure, from /proc."""
 
 import os
 from pathlib import Path
 
-TICKS = os.sysconf('SC_CLK_TCK')
+TICKS_PER_S = os.sysconf('SC_CLK_TCK')
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return user plus system processor seconds of process ``pid``."""
+    """Return the user and system CPU time of process ``pid`` in seconds."""
     fields = Path(f'/proc/{pid}/stat').read_text(encoding='utf-8').rsplit(')', 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def resident_mb(pid: int) -> float:
--- a/bench/starting.py
+++ b/bench/starting.py
@@ -1,7 +1,7 @@
-"""Processor time and memory of an entry process from its start to ready.
+"""CPU time and memory of an entry process from its start until it is ready.
 
-Builds nothing: run `sh deploy/build.sh` first. Starts the deployed
-process beside a stand-in of the platform's store, as its template does.
+Run `sh deploy/build.sh` first. Starts the process as deployed, with a stand-in for
+the platform's store.
 
     PYTHONPATH=tests .venv/bin/python bench/starting.py
 """
@@ -21,10 +21,10 @@
 
 
 class DeployedProcess(EntryProcessHandle):
-    """An entry process started as the deploy file says."""
+    """An entry process started as in a deployment."""
 
     def start(self) -> None:
-        """Start it with the libraries of ``target/deps`` only."""
+        """Start the process with only the libraries in ``target/deps``."""
         self._process = subprocess.Popen(
             ['python3', '-S', '-m', 'plantainloft_platform'],
             env={
@@ -36,36 +36,36 @@
             stderr=subprocess.STDOUT,
         )
 
-    def spent_s(self) -> float:
-        """Return the processor time so far, in seconds."""
+    def cpu_seconds(self) -> float:
+        """Return the CPU time used so far, in seconds."""
         fields = Path(f'/proc/{self._process.pid}/stat').read_text().rpartition(')')[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     def peak_mb(self) -> float:
-        """Return the largest resident set so far."""
+        """Return the peak resident set size so far, in MB."""
         status = Path(f'/proc/{self._process.pid}/status').read_text()
         line = next(line for line in status.splitlines() if line.startswith('VmHWM'))
         return int(line.split()[1]) / 1024
 
 
 async def measure() -> None:
-    """Print the medians over some starts."""
-    spent, waited, peaks = [], [], []
+    """Print medians over ``STARTS`` starts."""
+    cpu_s, wall_s, peak_sizes_mb = [], [], []
     async with running_store() as (store, _):
         store.put(OPERATOR, 'config', config(3))
         for _ in range(STARTS):
             work_dir = Path(tempfile.mkdtemp())
             entry = DeployedProcess(number=99, store=store.address, work_dir=work_dir)
-            began = time.monotonic()
+            started_at = time.monotonic()
             entry.start()
             await entry.until_ready()
-            waited.append(time.monotonic() - began)
-            spent.append(entry.spent_s())
-            peaks.append(entry.peak_mb())
+            wall_s.append(time.monotonic() - started_at)
+            cpu_s.append(entry.cpu_seconds())
+            peak_sizes_mb.append(entry.peak_mb())
             entry.kill()
-    print(f'processor time to ready: {statistics.median(spent):.2f} s')
-    print(f'wall time to ready: {statistics.median(waited):.2f} s')
-    print(f'peak memory at ready: {statistics.median(peaks):.1f} MB')
+    print(f'processor time to ready: {statistics.median(cpu_s):.2f} s')
+    print(f'wall time to ready: {statistics.median(wall_s):.2f} s')
+    print(f'peak memory at ready: {statistics.median(peak_sizes_mb):.1f} MB')
 
 
 if __name__ == '__main__':
