--- a/packages/node/src/plantainloft_node/app.py
+++ b/packages/node/src/plantainloft_node/app.py
@@ -194,7 +194,7 @@
 
     async def organisations(request: HttpRequest) -> Response:
         config = node.follower.config
-        usage_by_name = node.handler.admission.usage(config)
+        usage_by_name = node.handler.admission.usage_by_organisation(config)
         return JSONResponse(list_organisations(config.organisations, usage_by_name))
 
     return Starlette(
--- a/packages/node/src/plantainloft_node/engine/attempts.py
+++ b/packages/node/src/plantainloft_node/engine/attempts.py
@@ -56,11 +56,11 @@
 class Failed:
     """The request may have run, but no complete response was received.
 
-    ``broke``: the connection to the endpoint ended before the response did.
+    ``connection_lost``: the connection to the endpoint ended before the response did.
     """
 
     reason: str
-    broke: bool = False
+    connection_lost: bool = False
 
 
 AttemptOutcome = Answered | NotSent | NotRun | Failed
--- a/packages/node/src/plantainloft_node/engine/bodies.py
+++ b/packages/node/src/plantainloft_node/engine/bodies.py
@@ -58,7 +58,7 @@
                 raise BodyTooLargeError from None
             return b''
 
-    async def prefetch(self) -> tuple[bytes, bool]:
+    async def read_replayable(self) -> tuple[bytes, bool]:
         """Read up to ``MAX_REPLAYABLE_BYTES``; return them and whether the body is complete."""
         chunks: list[bytes] = []
         size = 0
--- a/packages/node/src/plantainloft_node/engine/callers.py
+++ b/packages/node/src/plantainloft_node/engine/callers.py
@@ -13,7 +13,7 @@
 from anyio.abc import SocketAttribute, SocketStream, TaskGroup
 
 from plantainloft_node.engine.bodies import BodyTooLargeError
-from plantainloft_node.engine.exchange import Connection, Exchange, Handler
+from plantainloft_node.engine.exchange import Connection, Exchange, ExchangeHandler
 
 __all__ = ['DISCONNECT_ERRORS', 'CallerConnection']
 
@@ -43,7 +43,7 @@
         self,
         *,
         stream: SocketStream,
-        handler: Handler,
+        handler: ExchangeHandler,
         clock: Callable[[], float],
     ) -> None:
         self._stream = stream
@@ -55,7 +55,7 @@
         self._open_exchanges: list[Exchange] = []
         self._exchange_ended = anyio.Event()
         self._read_scope: anyio.CancelScope | None = None
-        self.closing = False
+        self.close_requested = False
         # Reading was stopped by this side, but one response is still to be sent.
         self._final_response_due = False
 
@@ -76,16 +76,16 @@
         It stays open while later requests of the connection are in progress, since
         closing would abort them.
         """
-        return self.closing and self._open_exchanges[-1] is exchange
+        return self.close_requested and self._open_exchanges[-1] is exchange
 
     @property
     def idle(self) -> bool:
         """Whether the connection has no unanswered request."""
         return not self._open_exchanges
 
-    def close_idle(self) -> None:
+    def close_when_idle(self) -> None:
         """Close the connection: at once if idle, otherwise after its last response."""
-        self.closing = True
+        self.close_requested = True
         if self.idle and self._read_scope is not None:
             self._read_scope.cancel()
 
@@ -146,7 +146,7 @@
             await exchange.body.put(chunk)
         except BodyTooLargeError:
             # The consumer of the body gets the same error and sends the response.
-            self.closing = True
+            self.close_requested = True
             self._final_response_due = True
             return False
         return True
@@ -196,7 +196,7 @@
         return exchange
 
     async def _run_exchange(self, exchange: Exchange) -> None:
-        if not self._handler.repeatable(exchange):
+        if not self._handler.is_idempotent(exchange):
             # If an earlier response closes the connection, the caller resends the
             # requests behind it, so a non-idempotent one must not have run by then.
             await exchange.earlier_responses_sent.wait()
@@ -213,7 +213,7 @@
             self._stop_reading()
         elif self._open_exchanges:
             self._open_exchanges[0].earlier_responses_sent.set()
-        elif self.closing:
+        elif self.close_requested:
             self._stop_reading()
 
     def _stop_reading(self) -> None:
@@ -226,7 +226,7 @@
             'Caller: invalid HTTP request.',
             extra={'kind': 'improper', 'fields': {'status': status}},
         )
-        self.closing = True
+        self.close_requested = True
         with anyio.move_on_after(self._handler.limits().header_timeout_s):
             while self._open_exchanges and not self._open_exchanges[0].response_started:
                 self._exchange_ended = anyio.Event()
--- a/packages/node/src/plantainloft_node/engine/dialect.py
+++ b/packages/node/src/plantainloft_node/engine/dialect.py
@@ -11,25 +11,25 @@
 class HeaderNames(NamedTuple):
     """Header names in lower case, as bytes.
 
-    ``request_id`` carries the caller's id of a request; ``deadline`` carries the
+    ``request_id`` carries the caller's id of a request; ``timeout_ms`` carries the
     remaining time in milliseconds; ``affinity_cookie`` names the cookie whose value
-    identifies the object that a request is about; ``target`` carries the endpoint
+    identifies the object that a request is about; ``target_endpoint`` carries the endpoint
     incarnation that must run the request; ``not_run`` is set by an endpoint that did
     not run the request; ``signature`` is set on every response that an endpoint itself
-    produced (``None``: responses are not signed); ``load`` carries the numbers of
-    running requests, waiting requests, and slots; ``key`` carries the API key of the
+    produced (``None``: responses are not signed); ``load_report`` carries the numbers of
+    running requests, waiting requests, and slots; ``organisation_key`` carries the API key of the
     caller's organisation and is removed before forwarding if the configuration requires
     keys; ``organisation`` tells an endpoint the name of that organisation;
-    ``credentials`` are the headers that identify a caller.
+    ``credential_headers`` are the headers that identify a caller.
     """
 
     request_id: bytes = b'x-request-id'
-    deadline: bytes = b'x-request-timeout-ms'
+    timeout_ms: bytes = b'x-request-timeout-ms'
     affinity_cookie: bytes = b'affinity'
-    target: bytes = b'x-target-endpoint'
+    target_endpoint: bytes = b'x-target-endpoint'
     not_run: bytes = b'x-not-run'
     signature: bytes | None = None
-    load: bytes = b'x-load'
-    key: bytes = b'api-key'
+    load_report: bytes = b'x-load'
+    organisation_key: bytes = b'api-key'
     organisation: bytes = b'x-organisation'
-    credentials: tuple[bytes, ...] = (b'authorization', b'api-key')
+    credential_headers: tuple[bytes, ...] = (b'authorization', b'api-key')
--- a/packages/node/src/plantainloft_node/engine/endpoint_link.py
+++ b/packages/node/src/plantainloft_node/engine/endpoint_link.py
@@ -16,20 +16,20 @@
 from plantainloft_node.engine.heads import Headers, find_header
 
 __all__ = [
-    'CONNECT_S',
-    'SEND_ERRORS',
+    'CONNECTION_ERRORS',
+    'CONNECT_TIMEOUT_S',
     'BrokenAnswerError',
-    'OutgoingRequest',
     'ResponseHead',
     'UpstreamConnection',
+    'UpstreamRequest',
     'connect',
 ]
 
 READ_BYTES = 65536
 # A live endpoint in any region accepts a connection within this time.
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 # Raised when sending on, or receiving from, a connection that has ended.
-SEND_ERRORS = (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError)
+CONNECTION_ERRORS = (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError)
 # An idle connection is reused only during this share of the keep-alive time that
 # the server announces: a request sent while the server closes would be lost.
 KEEP_ALIVE_SAFETY_FACTOR = 0.6
@@ -50,17 +50,17 @@
 MAX_STALE_RESPONSES = 3
 
 
-class OutgoingRequest(NamedTuple):
+class UpstreamRequest(NamedTuple):
     """A request to a server; ``request_id`` may be empty.
 
-    ``whole``: ``body`` is the complete body, nothing is streamed after it.
+    ``body_complete``: ``body`` is the complete body, nothing is streamed after it.
     """
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
-    whole: bool
+    body_complete: bool
     request_id: bytes = b''
 
 
@@ -86,16 +86,16 @@
         self._stream = stream
         self._id_header = id_header
         self._protocol = h11.Connection(h11.CLIENT)
-        self._request: OutgoingRequest | None = None
+        self._request: UpstreamRequest | None = None
         self._body_sent = True
         self.send_started = False
         self.usable_until = 0.0
         self.request_count = 0
 
-    async def send(self, request: OutgoingRequest) -> None:
+    async def send(self, request: UpstreamRequest) -> None:
         """Send the head of a request and the part of its body that is available."""
         self._request = request
-        self._body_sent = request.whole
+        self._body_sent = request.body_complete
         encoded = self._encode(self._protocol, request)
         # Set before sending: after an error during the send it is unknown whether
         # the bytes arrived.
@@ -170,12 +170,12 @@
         """Close immediately; a server that still works on a request may cancel it."""
         await anyio.aclose_forcefully(self._stream)
 
-    def _encode(self, protocol: h11.Connection, request: OutgoingRequest) -> bytes:
+    def _encode(self, protocol: h11.Connection, request: UpstreamRequest) -> bytes:
         head = h11.Request(method=request.method, target=request.target, headers=request.headers)
         parts = [protocol.send(head) or b'']
         if request.body:
             parts.append(protocol.send(h11.Data(data=request.body)) or b'')
-        if request.whole:
+        if request.body_complete:
             parts.append(protocol.send(h11.EndOfMessage()) or b'')
         return b''.join(parts)
 
@@ -215,7 +215,7 @@
             received = await self._stream.receive(READ_BYTES)
         except anyio.EndOfStream:
             received = b''
-        except SEND_ERRORS as exc:
+        except CONNECTION_ERRORS as exc:
             raise BrokenAnswerError(reason='connection reset') from exc
         self._protocol.receive_data(received)
 
--- a/packages/node/src/plantainloft_node/engine/exchange.py
+++ b/packages/node/src/plantainloft_node/engine/exchange.py
@@ -9,7 +9,7 @@
 from plantainloft_node.engine.bodies import RequestBody
 from plantainloft_node.engine.heads import Headers, find_header
 
-__all__ = ['Connection', 'Exchange', 'Handler']
+__all__ = ['Connection', 'Exchange', 'ExchangeHandler']
 
 
 class Connection(ABC):
@@ -72,14 +72,14 @@
         """The caller's network address, without the port."""
         return self._connection.peer_host
 
-    async def answer(self, status: int, headers: Headers, body: bytes = b'') -> None:
+    async def respond(self, status: int, headers: Headers, body: bytes = b'') -> None:
         """Send a complete response."""
         framed = [*headers, (b'content-length', str(len(body)).encode())]
-        await self.start(status, framed)
-        await self.write(body)
-        await self.finish()
+        await self.start_response(status, framed)
+        await self.write_body(body)
+        await self.end_response()
 
-    async def start(self, status: int, headers: Headers) -> None:
+    async def start_response(self, status: int, headers: Headers) -> None:
         """Send the response head once all earlier responses have been sent."""
         await self.earlier_responses_sent.wait()
         if self._connection.closes_after(self):
@@ -87,7 +87,7 @@
         self.response_started = True
         self._pending = self._protocol.send(h11.Response(status_code=status, headers=headers))
 
-    async def write(self, chunk: bytes) -> None:
+    async def write_body(self, chunk: bytes) -> None:
         """Send a chunk of the response body."""
         if chunk:
             self._pending = (self._pending or b'') + (
@@ -95,7 +95,7 @@
             )
             await self._flush()
 
-    async def finish(self) -> None:
+    async def end_response(self) -> None:
         """Complete the response."""
         self._pending = (self._pending or b'') + (self._protocol.send(h11.EndOfMessage()) or b'')
         await self._flush()
@@ -111,7 +111,7 @@
             await self._connection.send(pending)
 
 
-class Handler(ABC):
+class ExchangeHandler(ABC):
     """Answers the requests on callers' connections."""
 
     @abstractmethod
@@ -119,7 +119,7 @@
         """Answer one request."""
 
     @abstractmethod
-    def repeatable(self, exchange: Exchange) -> bool:
+    def is_idempotent(self, exchange: Exchange) -> bool:
         """Return whether the request is idempotent, so that it may run more than once.
 
         Only such a request is run before the earlier requests of its connection have
--- a/packages/node/src/plantainloft_node/engine/pool.py
+++ b/packages/node/src/plantainloft_node/engine/pool.py
@@ -4,14 +4,14 @@
 
 from plantainloft_node.engine.endpoint_link import UpstreamConnection
 
-__all__ = ['LinkPool']
+__all__ = ['ConnectionPool']
 
 # Connections beyond the slots of an endpoint are of no use, and several entry
 # instances share these slots.
 MAX_IDLE_PER_ENDPOINT = 4
 
 
-class LinkPool:
+class ConnectionPool:
     """Idle connections by endpoint incarnation, most recently used first."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         for connection in self._idle_by_incarnation.pop(incarnation, []):
             await connection.close()
 
-    async def keep_only(self, incarnations: Collection[str]) -> None:
+    async def close_all_except(self, incarnations: Collection[str]) -> None:
         """Close the idle connections to all endpoints but ``incarnations``.
 
         No request is sent to an endpoint that has left, so nothing else would close
--- a/packages/node/src/plantainloft_node/engine/whole_answers.py
+++ b/packages/node/src/plantainloft_node/engine/whole_answers.py
@@ -6,27 +6,27 @@
 
 from plantainloft_node.engine.attempts import Failed, NotSent
 from plantainloft_node.engine.endpoint_link import (
-    SEND_ERRORS,
+    CONNECTION_ERRORS,
     BrokenAnswerError,
-    OutgoingRequest,
     ResponseHead,
     UpstreamConnection,
+    UpstreamRequest,
     connect,
 )
-from plantainloft_node.engine.pool import LinkPool
+from plantainloft_node.engine.pool import ConnectionPool
 
-__all__ = ['LinkClient', 'WholeAnswer']
+__all__ = ['BufferedResponse', 'HttpClient']
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class WholeAnswer:
+class BufferedResponse:
     """A response with its complete body."""
 
     head: ResponseHead
     body: bytes
 
 
-class LinkClient:
+class HttpClient:
     """Sends requests to servers by address (``host:port``), over pooled connections.
 
     The caller sets the time limit. When it cancels, the connection is closed, so that
@@ -34,9 +34,11 @@
     """
 
     def __init__(self) -> None:
-        self._pool = LinkPool()
+        self._pool = ConnectionPool()
 
-    async def ask(self, address: str, request: OutgoingRequest) -> WholeAnswer | NotSent | Failed:
+    async def send(
+        self, address: str, request: UpstreamRequest
+    ) -> BufferedResponse | NotSent | Failed:
         """Return the response, or whether the request may have arrived."""
         connection = await self._pool.acquire(address, anyio.current_time())
         if connection is None:
@@ -47,10 +49,10 @@
         kept = False
         try:
             response, kept = await _send_and_receive(connection, request)
-        except SEND_ERRORS as exc:
-            return Failed(reason=type(exc).__name__, broke=True)
+        except CONNECTION_ERRORS as exc:
+            return Failed(reason=type(exc).__name__, connection_lost=True)
         except BrokenAnswerError as exc:
-            return Failed(reason=exc.reason, broke=True)
+            return Failed(reason=exc.reason, connection_lost=True)
         finally:
             if not kept:
                 await connection.close()
@@ -60,8 +62,8 @@
 
 
 async def _send_and_receive(
-    connection: UpstreamConnection, request: OutgoingRequest
-) -> tuple[WholeAnswer, bool]:
+    connection: UpstreamConnection, request: UpstreamRequest
+) -> tuple[BufferedResponse, bool]:
     """Return the response, and whether the connection can be reused."""
     await connection.send(request)
     head = await connection.read_head()
@@ -70,5 +72,5 @@
     while chunk:
         chunks.append(chunk)
         chunk = await connection.read_chunk()
-    response = WholeAnswer(head=head, body=b''.join(chunks))
+    response = BufferedResponse(head=head, body=b''.join(chunks))
     return response, connection.reset_for_reuse(head, anyio.current_time())
--- a/packages/node/src/plantainloft_node/entry/listening.py
+++ b/packages/node/src/plantainloft_node/entry/listening.py
@@ -6,7 +6,7 @@
 from anyio.abc import SocketStream
 
 from plantainloft_node.engine.callers import CallerConnection
-from plantainloft_node.engine.exchange import Handler
+from plantainloft_node.engine.exchange import ExchangeHandler
 
 __all__ = ['Listeners']
 
@@ -24,7 +24,7 @@
         self._connections: set[CallerConnection] = set()
         self._draining = False
 
-    async def listen(self, address: str, handler: Handler) -> None:
+    async def listen(self, address: str, handler: ExchangeHandler) -> None:
         """Accept and serve connections on ``address`` (``host:port``) until cancelled."""
         host, _, port = address.rpartition(':')
         listener = await anyio.create_tcp_listener(
@@ -40,16 +40,16 @@
         """Close each connection after its next response."""
         self._draining = True
         for connection in self._connections:
-            connection.closing = True
+            connection.close_requested = True
 
-    def close_idle(self) -> None:
+    def close_when_idle(self) -> None:
         """Close the connections that have no request in progress."""
         for connection in tuple(self._connections):
-            connection.close_idle()
+            connection.close_when_idle()
 
-    async def _serve(self, stream: SocketStream, handler: Handler) -> None:
+    async def _serve(self, stream: SocketStream, handler: ExchangeHandler) -> None:
         connection = CallerConnection(stream=stream, handler=handler, clock=anyio.current_time)
-        connection.closing = self._draining
+        connection.close_requested = self._draining
         self._connections.add(connection)
         try:
             await connection.run()
--- a/packages/node/src/plantainloft_node/entry/lookups.py
+++ b/packages/node/src/plantainloft_node/entry/lookups.py
@@ -9,7 +9,7 @@
 import anyio
 
 from plantainloft_core.routes import CallerLimits
-from plantainloft_node.engine.exchange import Exchange, Handler
+from plantainloft_node.engine.exchange import Exchange, ExchangeHandler
 from plantainloft_node.fleet.members import FleetMember, MemberBook
 
 __all__ = ['LocalHandler', 'LookupHandler', 'ReadyHandler', 'front_addresses']
@@ -20,21 +20,21 @@
 _UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
 
 
-class LocalHandler(Handler):
+class LocalHandler(ExchangeHandler):
     """Answers requests from this instance's own state, without forwarding them."""
 
     def limits(self) -> CallerLimits:
         """Return the default limits."""
         return CallerLimits()
 
-    def repeatable(self, exchange: Exchange) -> bool:
+    def is_idempotent(self, exchange: Exchange) -> bool:
         """Return that the request has no side effects and may be repeated."""
         return True
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer with the status and body that ``reply`` returns."""
         status, body = self.reply(exchange)
-        await exchange.answer(status, [JSON_TYPE], body)
+        await exchange.respond(status, [JSON_TYPE], body)
 
     @abstractmethod
     def reply(self, exchange: Exchange) -> tuple[int, bytes]:
--- a/packages/node/src/plantainloft_node/entry/polling.py
+++ b/packages/node/src/plantainloft_node/entry/polling.py
@@ -16,7 +16,7 @@
 
 from plantainloft_node.fleet.members import FleetMember, MemberBook
 from plantainloft_node.fleet.ranking import RELAYS, is_answering, ranked_in
-from plantainloft_node.placing.affinity import score
+from plantainloft_node.placing.affinity import rendezvous_score
 
 __all__ = ['LONG_WAIT_S', 'SHORT_WAIT_S', 'StoreDuty', 'poll_wait_s']
 
@@ -100,4 +100,4 @@
 
 
 def _poll_order(name: str) -> tuple[int, str]:
-    return score('polls', name), name
+    return rendezvous_score('polls', name), name
--- a/packages/node/src/plantainloft_node/fleet/datagrams.py
+++ b/packages/node/src/plantainloft_node/fleet/datagrams.py
@@ -16,7 +16,7 @@
     unpack_report,
 )
 from plantainloft_node.fleet.reports import NO_USAGE, ZoneReport
-from plantainloft_node.limits.uses import OrganisationUse, pack_uses, unpack_uses
+from plantainloft_node.limits.uses import OrganisationUsage, decode_usage, encode_usage
 
 __all__ = [
     'Datagram',
@@ -58,7 +58,7 @@
     sender: str
     wants_reports: bool
     reports: tuple[ReceivedReport, ...]
-    fleet_usage: Mapping[int, OrganisationUse] = NO_USAGE
+    fleet_usage: Mapping[int, OrganisationUsage] = NO_USAGE
 
 
 def pack_datagrams(
@@ -66,14 +66,14 @@
     *,
     wants_reports: bool,
     reports: Iterable[PackedReport],
-    fleet_usage: Mapping[int, OrganisationUse] = NO_USAGE,
+    fleet_usage: Mapping[int, OrganisationUsage] = NO_USAGE,
 ) -> list[bytes]:
     """Pack ``reports`` in order into as few datagrams as possible.
 
     ``fleet_usage`` gets a datagram of its own, so that usage and reports do not
     compete for space.
     """
-    packed_usage = pack_uses(fleet_usage)
+    packed_usage = encode_usage(fleet_usage)
     batches: list[list[PackedReport]] = []
     remaining_bytes = 0
     for report in reports:
@@ -113,7 +113,7 @@
         )
         for packed, held_s in items
     )
-    fleet_usage = unpack_uses(require_type(uses, bytes))
+    fleet_usage = decode_usage(require_type(uses, bytes))
     return Datagram(
         require_type(sender, str), require_type(wants_reports, bool), reports, fleet_usage
     )
--- a/packages/node/src/plantainloft_node/fleet/ranking.py
+++ b/packages/node/src/plantainloft_node/fleet/ranking.py
@@ -7,7 +7,7 @@
 
 from plantainloft_node.fleet.members import MemberBook
 from plantainloft_node.fleet.reports import FleetMember
-from plantainloft_node.placing.affinity import score
+from plantainloft_node.placing.affinity import rendezvous_score
 
 __all__ = ['RELAYS', 'down_members', 'is_answering', 'ranked_in', 'relays_in', 'report_targets']
 
@@ -69,7 +69,7 @@
 
 
 def _rank(member: FleetMember) -> tuple[int, str]:
-    return score('relay', member.name), member.name
+    return rendezvous_score('relay', member.name), member.name
 
 
 def is_answering(member: FleetMember, members: MemberBook, now: float) -> bool:
--- a/packages/node/src/plantainloft_node/fleet/relaying.py
+++ b/packages/node/src/plantainloft_node/fleet/relaying.py
@@ -130,7 +130,7 @@
                 zone_rate_by_service=zone_request_rates(heartbeats, beat.rate_by_service),
                 statuses=_member_statuses(heartbeats, beat, now),
                 introduced=self._introduced(now),
-                zone_usage_by_organisation=zone_usage(heartbeats, beat.use_by_organisation),
+                zone_usage_by_organisation=zone_usage(heartbeats, beat.usage_by_organisation),
             )
         return PackedReport(pack_report(report), 0.0)
 
@@ -181,7 +181,7 @@
     ) -> list[Message]:
         # Reports of other zones reach subscribers late, so each round includes
         # the fleet-wide usage.
-        usage = uses_of_fleet(self._members, self._state().use_by_organisation, now)
+        usage = uses_of_fleet(self._members, self._state().usage_by_organisation, now)
         datagrams = pack_datagrams(
             self._members.me.name, wants_reports=False, reports=reports, fleet_usage=usage
         )
--- a/packages/node/src/plantainloft_node/fleet/report_codec.py
+++ b/packages/node/src/plantainloft_node/fleet/report_codec.py
@@ -7,7 +7,7 @@
 import msgpack
 
 from plantainloft_node.fleet.reports import Beat, FleetMember, MemberStatus, ZoneReport
-from plantainloft_node.limits.uses import pack_uses, unpack_uses
+from plantainloft_node.limits.uses import decode_usage, encode_usage
 from plantainloft_node.quarantine.crash_codec import pack_crashes, unpack_crashes
 
 __all__ = ['DECODE_ERRORS', 'pack_report', 'require_non_negative', 'require_type', 'unpack_report']
@@ -34,7 +34,7 @@
                 b''.join(_pack_status(status) for status in report.statuses),
                 [list(member) for member in report.introduced],
                 pack_crashes(report.crashes),
-                pack_uses(report.zone_usage_by_organisation),
+                encode_usage(report.zone_usage_by_organisation),
             ],
         ]
     )
@@ -56,7 +56,7 @@
         statuses=tuple(_parse_statuses(require_type(statuses, bytes))),
         introduced=tuple(_parse_member(member) for member in introduced),
         crashes=unpack_crashes(require_type(crashes, bytes)),
-        zone_usage_by_organisation=unpack_uses(require_type(uses, bytes)),
+        zone_usage_by_organisation=decode_usage(require_type(uses, bytes)),
     )
 
 
@@ -70,7 +70,7 @@
         rate_by_service=_parse_rates(rates),
         follows=follows,
         store_served_s=None if served_s is None else require_non_negative(served_s),
-        use_by_organisation=unpack_uses(require_type(uses, bytes)),
+        usage_by_organisation=decode_usage(require_type(uses, bytes)),
     )
 
 
@@ -100,7 +100,7 @@
 def _beat_fields(beat: Beat) -> list[Any]:
     rates = _rounded(beat.rate_by_service)
     flags = [beat.ready, beat.leaving, beat.follows]
-    uses = pack_uses(beat.use_by_organisation)
+    uses = encode_usage(beat.usage_by_organisation)
     return [list(beat.member), flags, beat.newest_by_table, rates, beat.store_served_s, uses]
 
 
--- a/packages/node/src/plantainloft_node/forwarding.py
+++ b/packages/node/src/plantainloft_node/forwarding.py
@@ -20,8 +20,8 @@
 from plantainloft_core.outcomes import Quarantined, Refused, Served, Unknown
 from plantainloft_node.deciding import EndpointSelector
 from plantainloft_node.engine.attempts import Failed, NotSent
-from plantainloft_node.engine.endpoint_link import OutgoingRequest
-from plantainloft_node.engine.whole_answers import LinkClient, WholeAnswer
+from plantainloft_node.engine.endpoint_link import UpstreamRequest
+from plantainloft_node.engine.whole_answers import BufferedResponse, HttpClient
 from plantainloft_node.loads import EndpointLoadTracker
 from plantainloft_node.quarantine.crash_checks import CrashChecks, EndpointRun
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint, fingerprint_of
@@ -80,7 +80,7 @@
         loads: EndpointLoadTracker,
         quarantine: Quarantine,
     ) -> None:
-        self._client = LinkClient()
+        self._client = HttpClient()
         self._endpoint_selector = endpoint_selector
         self._loads = loads
         self.quarantine = quarantine
@@ -132,16 +132,18 @@
             headers['x-organisation'] = request.organisation.name
         headers['x-deadline-ms'] = str(int(request.deadline * MS_PER_S))
         self._loads.record_started(name)
-        answer: WholeAnswer | NotSent | Failed = Failed(reason='no answer in time')
+        answer: BufferedResponse | NotSent | Failed = Failed(reason='no answer in time')
         try:
             with anyio.move_on_after(remaining):
-                answer = await self._client.ask(*_build_outgoing_request(address, request, headers))
+                answer = await self._client.send(
+                    *_build_upstream_request(address, request, headers)
+                )
         finally:
             self._loads.record_finished(name)
         if isinstance(answer, NotSent):
             return Refused(reason=f'{name} unreachable', retry_after_s=1)
         if isinstance(answer, Failed):
-            if answer.broke:
+            if answer.connection_lost:
                 self.crash_checks.note_broken(_endpoint_run(name, address, request))
             return Unknown(reason=f'{name}: {answer.reason}')
         if answer.head.status == _UNAVAILABLE:
@@ -172,17 +174,17 @@
     )
 
 
-def _build_outgoing_request(
+def _build_upstream_request(
     address: str, request: Request, headers: dict[str, str]
-) -> tuple[str, OutgoingRequest]:
+) -> tuple[str, UpstreamRequest]:
     """Return the host to connect to and the request to send to it."""
     host = address.removeprefix('http://')
     raw_headers = [(key.encode(), text.encode('latin-1')) for key, text in headers.items()]
     raw_headers.append((b'host', host.encode()))
     raw_headers.append((b'content-length', str(len(request.body)).encode()))
     target = quote(f'/work/{request.path}').encode()
-    return host, OutgoingRequest(
-        request.method.encode(), target, raw_headers, request.body, whole=True
+    return host, UpstreamRequest(
+        request.method.encode(), target, raw_headers, request.body, body_complete=True
     )
 
 
--- a/packages/node/src/plantainloft_node/limits/listing.py
+++ b/packages/node/src/plantainloft_node/limits/listing.py
@@ -4,7 +4,7 @@
 from typing import TypedDict
 
 from plantainloft_core.organisations import Organisation, OrganisationIndex
-from plantainloft_node.limits.limiter import Usage
+from plantainloft_node.limits.limiter import LimitUsage
 
 __all__ = ['ListedOrganisation', 'list_organisations']
 
@@ -32,7 +32,7 @@
 
 
 def list_organisations(
-    organisations: OrganisationIndex, usage_by_name: Mapping[str, Usage]
+    organisations: OrganisationIndex, usage_by_name: Mapping[str, LimitUsage]
 ) -> list[ListedOrganisation]:
     """Return all organisations, sorted by name."""
     return [
@@ -41,7 +41,7 @@
     ]
 
 
-def _listed(organisation: Organisation, usage: Usage | None) -> ListedOrganisation:
+def _listed(organisation: Organisation, usage: LimitUsage | None) -> ListedOrganisation:
     return ListedOrganisation(
         name=organisation.name,
         key_digests=sorted(organisation.key_digests),
--- a/packages/node/src/plantainloft_node/peering/mesh.py
+++ b/packages/node/src/plantainloft_node/peering/mesh.py
@@ -17,8 +17,8 @@
 from plantainloft_core.lookup import Member
 from plantainloft_core.outcomes import Unreachable
 from plantainloft_core.roster import MembershipList
-from plantainloft_node.limits.peer_uses import PeerUses
-from plantainloft_node.limits.uses import OrganisationUse, pack_uses, unpack_uses
+from plantainloft_node.limits.peer_uses import PeerUsageReports
+from plantainloft_node.limits.uses import OrganisationUsage, decode_usage, encode_usage
 from plantainloft_node.peering.messages import (
     Heartbeat,
     pack_updates,
@@ -51,7 +51,7 @@
         current_version: Callable[[], int],
         on_newer_version: Callable[[int, str], None],
         crashes: CrashBook,
-        uses: Callable[[float], Mapping[int, OrganisationUse]],
+        usage_report: Callable[[float], Mapping[int, OrganisationUsage]],
     ) -> None:
         """``uses`` returns the usage of organisations' limits on this node."""
         self.membership_list = membership_list
@@ -60,8 +60,8 @@
         self._current_version = current_version
         self._on_newer_version = on_newer_version
         self._crashes = crashes
-        self._uses = uses
-        self.peer_uses = PeerUses()
+        self._usage_report = usage_report
+        self.peer_usage_reports = PeerUsageReports()
         self._wake_event = anyio.Event()
         self._probing: set[str] = set()
 
@@ -140,7 +140,7 @@
         if heartbeat['version'] > self._current_version():
             self._on_newer_version(heartbeat['version'], sender.peer_address)
         if sender.name != self.membership_list.local_member.name:
-            self.peer_uses.put(sender.name, _unpack_uses_of(heartbeat), now)
+            self.peer_usage_reports.record(sender.name, _decode_usage_of(heartbeat), now)
         new_crashes = self._crashes.merge(_unpack_crashes_of(heartbeat), now)
         if self.membership_list.revision != revision_before or new_crashes:
             self.wake()
@@ -152,7 +152,7 @@
             claims=self._claims.claimed_by_region,
             events=pack_updates(self.membership_list.updates_for(receiver=receiver)),
             crashes=pack_crashes(self._crashes.reports(time.monotonic())),
-            uses=pack_uses(self._uses(time.monotonic())),
+            uses=encode_usage(self._usage_report(time.monotonic())),
         )
 
 
@@ -168,10 +168,10 @@
         return ()
 
 
-def _unpack_uses_of(heartbeat: Heartbeat) -> dict[int, OrganisationUse]:
+def _decode_usage_of(heartbeat: Heartbeat) -> dict[int, OrganisationUsage]:
     # The field may be missing or in another format, as in the function above.
     try:
-        return unpack_uses(heartbeat.get('uses', b''))
+        return decode_usage(heartbeat.get('uses', b''))
     except (ValueError, TypeError, struct.error) as exc:
         log.warning(
             'Membership: cannot decode limit usage from %s: %s.', heartbeat['sender'][0], exc
--- a/packages/node/src/plantainloft_node/placing/demand.py
+++ b/packages/node/src/plantainloft_node/placing/demand.py
@@ -3,14 +3,14 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-__all__ = ['DemandMeter', 'RegionDemand', 'demand_by_region']
+__all__ = ['DemandMeter', 'DemandReport', 'demand_by_region']
 
 # Averaging time of the rate: long enough to smooth single requests (20 of them
 # at 10 a second), short compared with a wave of traffic.
 AVERAGING_S = 2.0
 
 
-class RegionDemand(NamedTuple):
+class DemandReport(NamedTuple):
     """Requests a second by service, and the region that they come from."""
 
     region: str
@@ -18,17 +18,17 @@
 
 
 class DemandMeter:
-    """Counts requests and updates a moving average of their rate at each ``tick``."""
+    """Counts requests and updates a moving average of their rate at each ``update``."""
 
     def __init__(self) -> None:
         self._count_by_service: dict[str, int] = {}
         self.rate_by_service: dict[str, float] = {}
 
-    def note(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count one request."""
         self._count_by_service[service] = self._count_by_service.get(service, 0) + 1
 
-    def tick(self, elapsed_s: float) -> None:
+    def update(self, elapsed_s: float) -> None:
         """Add the requests counted in the last ``elapsed_s`` seconds to the average."""
         weight = min(1.0, elapsed_s / AVERAGING_S)
         counts = self._count_by_service
@@ -39,7 +39,7 @@
             self.rate_by_service[service] = previous + weight * (rate - previous)
 
 
-def demand_by_region(instances: Iterable[RegionDemand]) -> dict[str, dict[str, float]]:
+def demand_by_region(instances: Iterable[DemandReport]) -> dict[str, dict[str, float]]:
     """Return the sum of the rates by service, then by region."""
     total: dict[str, dict[str, float]] = {}
     for instance in instances:
--- a/packages/node/src/plantainloft_node/placing/pace.py
+++ b/packages/node/src/plantainloft_node/placing/pace.py
@@ -6,7 +6,7 @@
 
 from plantainloft_core.routes import RouteTable
 
-__all__ = ['EndpointLatency', 'ServiceLatency', 'longest_wait_by_service']
+__all__ = ['EndpointLatency', 'ServiceLatency', 'longest_timeout_by_service']
 
 # Weight of the newest answer in the moving averages: about 30 answers count (two
 # seconds at 15 a second), so one slow endpoint hardly changes the estimate.
@@ -25,18 +25,18 @@
 ENDPOINT_DECAY_S = 4.0
 # Used before the first answer, and before the routes are known.
 DEFAULT_MEAN_S = 0.3
-DEFAULT_LONGEST_WAIT_S = 1.2
+DEFAULT_LONGEST_TIMEOUT_S = 1.2
 
 
 class ServiceLatency:
     """Mean and mean deviation of the answer times of one service, in seconds."""
 
     def __init__(self) -> None:
-        self.longest_wait_s = DEFAULT_LONGEST_WAIT_S
+        self.longest_timeout_s = DEFAULT_LONGEST_TIMEOUT_S
         self._mean_s: float | None = None
         self._deviation_s = 0.0
 
-    def note_answer(self, took_s: float) -> None:
+    def record_response_time(self, took_s: float) -> None:
         """Record the time from sending a request to the end of its answer."""
         if self._mean_s is None:
             self._mean_s = took_s
@@ -47,18 +47,18 @@
         self._mean_s += NEWEST_WEIGHT * difference_s
 
     @property
-    def usual_s(self) -> float:
+    def mean_s(self) -> float:
         """The mean answer time."""
         return DEFAULT_MEAN_S if self._mean_s is None else self._mean_s
 
     @property
-    def silent_after_s(self) -> float:
+    def max_silence_s(self) -> float:
         """The time without any answer after which an endpoint counts as silent."""
-        max_silence_s = max(MIN_SILENCE_S, TIMEOUT_FRACTION * self.longest_wait_s)
+        upper_bound_s = max(MIN_SILENCE_S, TIMEOUT_FRACTION * self.longest_timeout_s)
         if self._mean_s is None:
-            return max_silence_s
+            return upper_bound_s
         likely_max_s = self._mean_s + DEVIATION_FACTOR * self._deviation_s
-        return min(max_silence_s, max(MIN_SILENCE_S, likely_max_s))
+        return min(upper_bound_s, max(MIN_SILENCE_S, likely_max_s))
 
 
 class EndpointLatency:
@@ -72,22 +72,22 @@
         self._mean_s = 0.0
         self._updated_at = 0.0
 
-    def note_answer(self, took_s: float, now: float) -> None:
+    def record_response_time(self, took_s: float, now: float) -> None:
         """Record the time of an answer."""
         self._mean_s += ENDPOINT_NEWEST_WEIGHT * (took_s - self._mean_s)
         self._updated_at = now
 
-    def note_given_up(self, after_s: float, now: float) -> None:
+    def record_abandoned(self, after_s: float, now: float) -> None:
         """Record a request that was abandoned; its answer would have taken longer."""
         if after_s > self._mean_s:
-            self.note_answer(after_s, now)
+            self.record_response_time(after_s, now)
 
     def recent_s(self, now: float) -> float:
         """Return the mean answer time, which decays to zero with its age."""
         return self._mean_s * max(0.0, 1 - (now - self._updated_at) / ENDPOINT_DECAY_S)
 
 
-def longest_wait_by_service(table: RouteTable) -> dict[str, float]:
+def longest_timeout_by_service(table: RouteTable) -> dict[str, float]:
     """Return the longest route timeout of each service, in seconds."""
     longest: dict[str, float] = {}
     for routes in table.routes_by_host.values():
--- a/packages/node/src/plantainloft_node/placing/splitting.py
+++ b/packages/node/src/plantainloft_node/placing/splitting.py
@@ -6,16 +6,16 @@
 
 from plantainloft_core.routes import WeightedService
 
-__all__ = ['SplitTurns']
+__all__ = ['SmoothWeightedRoundRobin']
 
 
-class SplitTurns:
+class SmoothWeightedRoundRobin:
     """Selects services in turn, by the weights of one route's split."""
 
     def __init__(self) -> None:
         self._credit_by_service: dict[str, float] = {}
 
-    def next(self, shares: tuple[WeightedService, ...]) -> str:
+    def next_service(self, shares: tuple[WeightedService, ...]) -> str:
         """Return the service that gets the next request."""
         if len(shares) == 1:
             return shares[0].service
--- a/packages/node/src/plantainloft_node/quarantine/crash_book.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_book.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from plantainloft_node.placing.affinity import score
+from plantainloft_node.placing.affinity import rendezvous_score
 from plantainloft_node.quarantine.crashes import (
     CRASH_RETENTION_S,
     QUARANTINE_CRASHES,
@@ -77,7 +77,7 @@
 
     def note_crash(self, request: RequestFingerprint, incarnation: str, now: float) -> CrashSummary:
         """Record that an endpoint crashed while it ran ``request``."""
-        key = CrashKey(request.caller, score('crash', incarnation))
+        key = CrashKey(request.caller, rendezvous_score('crash', incarnation))
         self._add(request.content, key, crashed_at=now, exemption=Exemption.NONE, now=now)
         return self.standing(request, now)
 
--- a/packages/node/src/plantainloft_node/quarantine/crash_checks.py
+++ b/packages/node/src/plantainloft_node/quarantine/crash_checks.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from plantainloft_node.engine.endpoint_link import CONNECT_S, connect
+from plantainloft_node.engine.endpoint_link import CONNECT_TIMEOUT_S, connect
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint
 
 __all__ = ['CrashChecks', 'EndpointRun']
@@ -104,7 +104,7 @@
 
 async def _accepts_connections(address: str) -> bool:
     connection = None
-    with anyio.move_on_after(CONNECT_S):
+    with anyio.move_on_after(CONNECT_TIMEOUT_S):
         try:
             connection = await connect(address)
         except OSError:
--- a/packages/standins/src/plantainloft_standins/crash_model.py
+++ b/packages/standins/src/plantainloft_standins/crash_model.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from plantainloft_node.engine.dispatch import MAX_UNSENT
+from plantainloft_node.engine.dispatch import MAX_CONNECT_FAILURES
 from plantainloft_node.quarantine.crash_book import CrashBook
 from plantainloft_node.quarantine.crashes import QUARANTINE_CRASHES, CrashReport
 from plantainloft_node.quarantine.fingerprints import RequestFingerprint, fingerprint_of
@@ -249,7 +249,7 @@
             self._send(request)
 
     def _send(self, request: _Request) -> None:
-        candidates = self._rng.sample(self._endpoints, MAX_UNSENT)
+        candidates = self._rng.sample(self._endpoints, MAX_CONNECT_FAILURES)
         available = [
             one for one in candidates if one.is_up and len(one.running) < 2 * self._scenario.slots
         ]
